--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import pytest
-from program_launcher import ProgramLauncher
-from router_harness import RouterHarness
+from helpers.process_harness import ProcessHarness
+from helpers.program_launcher import ProgramLauncher
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
@@ -77,7 +77,7 @@
     """Start routers in this thread, with their endpoint log, workers and clients; closed at the end."""
 
     def start(*workers, **options):
-        harness = RouterHarness(*workers, **options)
+        harness = ProcessHarness(*workers, **options)
         cleanups.callback(harness.close)
         return harness
 
--- a/tests/test_router_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,6 +1,6 @@
 """Admission: deadlines, the one final answer, tenant quotas, and the limit of requests in flight."""
 
-from decision_harness import DecisionHarness, actions_of
+from helpers.decision_harness import DecisionHarness, actions_of
 
 from function_router.decisions.actions import FailRequest, RejectRequest, SendRequest
 from function_router.decisions.events import Endpoint, EndpointsChanged, RequestCancelled
--- a/tests/test_router_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -1,7 +1,7 @@
 """Dispatch: which worker a request is sent to, and what is believed of the instances there."""
 
 import pytest
-from decision_harness import DecisionHarness, actions_of, start_orders
+from helpers.decision_harness import DecisionHarness, actions_of, start_orders
 
 from function_router.decisions.actions import EnsureInstances, SendRequest
 from function_router.decisions.events import Endpoint, EndpointsChanged, RequestCancelled, TimerFired
--- a/tests/test_router_health.py
+++ b/tests/decisions/test_health.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 import pytest
-from decision_harness import DecisionHarness, actions_of, probes, start_orders
+from helpers.decision_harness import DecisionHarness, actions_of, probes, start_orders
 
 from function_router.decisions.actions import Action, EnsureInstances, LogMessage, SendRequest
 from function_router.decisions.events import Endpoint, EndpointsChanged
--- a/tests/test_many_routers_hedging.py
+++ b/tests/decisions/test_many_routers_hedging.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from decision_harness import DecisionHarness
+from helpers.decision_harness import DecisionHarness
 
 from function_router.decisions.actions import SendRequest
 
--- a/tests/test_many_routers_limits.py
+++ b/tests/decisions/test_many_routers_limits.py
@@ -1,6 +1,6 @@
 """Many routers: what each one starts, holds unresponsive and keeps in flight on its own."""
 
-from decision_harness import actions_of, one_of_many_routers, probes
+from helpers.decision_harness import actions_of, one_of_many_routers, probes
 
 from function_router.decisions.actions import EnsureInstances, RejectRequest
 from function_router.decisions.state import Function
--- a/tests/test_many_routers_placement.py
+++ b/tests/decisions/test_many_routers_placement.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from decision_harness import (
+from helpers.decision_harness import (
     MANY_ROUTERS_TENANT,
     DecisionHarness,
     actions_of,
--- a/tests/test_many_routers_slow_start.py
+++ b/tests/decisions/test_many_routers_slow_start.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from decision_harness import (
+from helpers.decision_harness import (
     MANY_ROUTERS_QUOTA_RPS,
     MANY_ROUTERS_WORKERS,
     many_routers,
--- a/tests/test_router_retries.py
+++ b/tests/decisions/test_retries.py
@@ -1,6 +1,6 @@
 """Retries: which class of requests may be sent again, where to, and how long."""
 
-from decision_harness import DecisionHarness, actions_of
+from helpers.decision_harness import DecisionHarness, actions_of
 
 from function_router.decisions.actions import FailRequest, RejectRequest, SendRequest
 from function_router.decisions.types import Outcome
--- a/tests/test_router_scaling.py
+++ b/tests/decisions/test_scaling.py
@@ -1,6 +1,6 @@
 """Scaling: probes, cold starts, the race of a cold start with a busy instance, and the ration of orders."""
 
-from decision_harness import DecisionHarness, actions_of, start_orders
+from helpers.decision_harness import DecisionHarness, actions_of, start_orders
 from msgspec import structs
 
 from function_router.decisions.actions import EnsureInstances, SendRequest
--- a/tests/test_router_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,6 +1,6 @@
 """Slow start at one router: what it sent before it was notified of the start counts, too."""
 
-from decision_harness import DecisionHarness
+from helpers.decision_harness import DecisionHarness
 
 from function_router.decisions.events import Endpoint, EndpointsChanged
 
--- /dev/null
+++ b/tests/helpers/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers of the tests: stand-ins for what a router talks to, and harnesses that drive it."""
--- /dev/null
+++ b/tests/helpers/fake_worker.py
@@ -0,0 +1,64 @@
+"""A stand-in for a worker."""
+
+from typing import NamedTuple
+
+from function_router.net.codecs import worker_frames
+from function_router.net.endpoint_registry import worker_id_of
+from helpers.fake_peer import FakeListener, FakePeerConnection
+
+
+class ReceivedFrame(NamedTuple):
+    """A frame and the connection on which it came."""
+
+    connection: FakePeerConnection
+    frame: worker_frames.Frame
+
+
+class FakeWorker(FakeListener):
+    """A worker that reports `instances` to each start order or probe, and leaves requests to the test.
+
+    It leaves start orders and probes to the test too where `instances` is None.
+    """
+
+    def __init__(self, name="s-1", instances=1):
+        super().__init__()
+        self.name = name
+        self.worker_id = worker_id_of(name)
+        self.instances = instances
+        self.frames = []
+        self._readers = {}  # by connection
+
+    def receive(self):
+        """Receive all that has come, and answer start orders and probes."""
+        super().receive()
+        for connection in self.connections:
+            if connection not in self._readers:
+                self._readers[connection] = worker_frames.FrameReader(worker_frames.FROM_ROUTER)
+            data = bytes(connection.data)
+            connection.data.clear()
+            for frame in self._readers[connection].feed(data):
+                self._on_frame(ReceivedFrame(connection, frame))
+
+    def _on_frame(self, received):
+        self.frames.append(received)
+        if received.frame.code == worker_frames.ENSURE_INSTANCES and self.instances is not None:
+            self.answer(received, fields=f"slots_up={self.instances}")
+
+    def answer(self, received, code=0, fields="res=reused", body=b""):
+        """Answer a frame on its connection."""
+        exchange_id = received.frame.exchange_id
+        data = worker_frames.encode(code, exchange_id, fields, body, worker_frames.FROM_WORKER)
+        received.connection.sock.sendall(data)
+
+    def received(self, code):
+        """The frames with this code, in the order in which they came."""
+        return [received for received in self.frames if received.frame.code == code]
+
+    @property
+    def requests(self):
+        """The requests that it got."""
+        return self.received(worker_frames.RUN)
+
+    def record(self, phase="in_service", **fields):
+        """Its record in an endpoint list."""
+        return {"id": self.name, "host_port": self.host_port, "phase": phase, "size": 4, **fields}
--- a/tests/router_harness.py
+++ b/tests/helpers/process_harness.py
@@ -2,14 +2,15 @@
 
 import time
 
-from fakes import FUNCTION, PATIENCE_S, FakeClient, FakeEndpointLog
-
 from function_router.config import parse_config
 from function_router.decisions.actions import EnsureInstances
 from function_router.decisions.types import WorkerState
 from function_router.net.clock import monotonic_ms
 from function_router.net.router_process import RouterProcess
 from function_router.net.worker_messages import Attempt, StartOrder
+from helpers.fake_client import FUNCTION, FakeClient
+from helpers.fake_endpoint_log import FakeEndpointLog
+from helpers.sockets import PATIENCE_S
 
 TURN_S = 0.005
 CLASSES = [
@@ -46,7 +47,7 @@
     }
 
 
-class RouterHarness:
+class ProcessHarness:
     """A router in this thread, with its endpoint log, workers and clients; it closes them all."""
 
     def __init__(self, *workers, settings=None, limits=None, start=True):
--- a/tests/program_launcher.py
+++ b/tests/helpers/program_launcher.py
@@ -7,10 +7,12 @@
 
 import msgspec
 import pytest
-from fakes import FakeEndpointLog, wait_readable
-from router_harness import router_config
 
-ROOT = Path(__file__).parent.parent
+from helpers.fake_endpoint_log import FakeEndpointLog
+from helpers.process_harness import router_config
+from helpers.sockets import wait_readable
+
+ROOT = Path(__file__).parent.parent.parent
 OVERRIDES = ("ROUTER_LISTEN", "ROUTER_NAME")  # variables that take precedence over the configuration
 MAX_ROUNDS = 4000
 ROUND_S = 0.005
--- a/tests/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -7,8 +7,10 @@
 from unittest import mock
 
 import pytest
-from fakes import FakeWorker, encode_request, wait_readable
-from router_harness import SETTINGS
+from helpers.fake_client import encode_request
+from helpers.fake_worker import FakeWorker
+from helpers.process_harness import SETTINGS
+from helpers.sockets import wait_readable
 
 from function_router.decisions.actions import SendRequest
 from function_router.net import client_connection, clock, connection, router_process
--- a/tests/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -4,7 +4,8 @@
 from unittest import mock
 
 import pytest
-from fakes import FakeWorker, wait_readable
+from helpers.fake_worker import FakeWorker
+from helpers.sockets import wait_readable
 
 from function_router.net import client_listener, connection, router_process
 
--- a/tests/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -1,8 +1,8 @@
 """Tests of `endpoint_registry`."""
 
 import pytest
-from fakes import FakeWorker
-from router_harness import endpoint_event
+from helpers.fake_worker import FakeWorker
+from helpers.process_harness import endpoint_event
 
 from function_router.config import ConfigurationError, EndpointList, EndpointRecord
 from function_router.decisions.types import WorkerState
--- a/tests/test_event_ordering_requests.py
+++ b/tests/net/test_event_ordering_requests.py
@@ -7,8 +7,9 @@
 from unittest import mock
 
 import pytest
-from fakes import FakeWorker, wait_readable
-from router_harness import OTHER_UNLISTED_WORKER_ID, SETTINGS, UNLISTED_WORKER_ID, attempt
+from helpers.fake_worker import FakeWorker
+from helpers.process_harness import OTHER_UNLISTED_WORKER_ID, SETTINGS, UNLISTED_WORKER_ID, attempt
+from helpers.sockets import wait_readable
 
 from function_router.decisions.actions import CancelAttempt, SendRequest
 from function_router.decisions.events import AttemptEnded
--- a/tests/test_log.py
+++ b/tests/net/test_log.py
@@ -5,7 +5,7 @@
 import threading
 
 import pytest
-from fakes import FakeMonotonicClock
+from helpers.fake_clock import FakeMonotonicClock
 
 from function_router.net.log import MAX_LINE_LENGTH, MAX_LINES_PER_SECOND, RateLimitedLog
 
--- a/tests/test_request_table.py
+++ b/tests/net/test_request_table.py
@@ -4,8 +4,9 @@
 from unittest import mock
 
 import pytest
-from fakes import FUNCTION, FakeWorker
-from router_harness import SETTINGS
+from helpers.fake_client import FUNCTION
+from helpers.fake_worker import FakeWorker
+from helpers.process_harness import SETTINGS
 
 from function_router.decisions.events import RequestCancelled
 from function_router.net import request_table
--- a/tests/test_start_order_limit.py
+++ b/tests/net/test_start_order_limit.py
@@ -3,8 +3,9 @@
 from unittest import mock
 
 import pytest
-from fakes import FUNCTION, FakeWorker
-from router_harness import SETTINGS, UNLISTED_WORKER_ID
+from helpers.fake_client import FUNCTION
+from helpers.fake_worker import FakeWorker
+from helpers.process_harness import SETTINGS, UNLISTED_WORKER_ID
 
 from function_router.decisions.actions import EnsureInstances
 from function_router.net import worker_connection
--- a/tests/test_thrift.py
+++ b/tests/net/test_thrift.py
@@ -3,7 +3,8 @@
 import struct
 
 import pytest
-from fakes import REQUEST_FIELDS, decode_answer, encode_request, feed_in_chunks
+from helpers.fake_client import REQUEST_FIELDS, decode_answer, encode_request
+from helpers.readers import feed_in_chunks
 
 from function_router.net.codecs import thrift
 
--- a/tests/test_timer_wheel.py
+++ b/tests/net/test_timer_wheel.py
@@ -1,7 +1,7 @@
 """Tests of `timer_wheel`."""
 
 import pytest
-from fakes import FakeMonotonicClock
+from helpers.fake_clock import FakeMonotonicClock
 
 from function_router.net.timer_wheel import SLOTS, TICK_MS, TimerWheel
 
--- a/tests/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -4,8 +4,9 @@
 import time
 from unittest import mock
 
-from fakes import FakeWorker, wait_readable
-from router_harness import attempt, start_order
+from helpers.fake_worker import FakeWorker
+from helpers.process_harness import attempt, start_order
+from helpers.sockets import wait_readable
 
 from function_router.decisions.types import Outcome
 from function_router.net import pooled_worker, worker_connection
--- a/tests/test_worker_frames.py
+++ b/tests/net/test_worker_frames.py
@@ -4,7 +4,8 @@
 import zlib
 
 import pytest
-from fakes import FUNCTION, feed_in_chunks
+from helpers.fake_client import FUNCTION
+from helpers.readers import feed_in_chunks
 
 from function_router.net.codecs import worker_frames
 from function_router.net.codecs.worker_frames import FrameReader
--- a/tests/test_worker_pool.py
+++ b/tests/net/test_worker_pool.py
@@ -6,8 +6,8 @@
 
 import msgspec
 import pytest
-from fakes import FakeWorker
-from router_harness import UNLISTED_WORKER_ID, attempt, endpoint_event, start_order
+from helpers.fake_worker import FakeWorker
+from helpers.process_harness import UNLISTED_WORKER_ID, attempt, endpoint_event, start_order
 
 from function_router.decisions.types import Outcome, WorkerState
 from function_router.net import pooled_worker, router_process
