--- a/function_router/decisions/events.py
+++ b/function_router/decisions/events.py
@@ -37,8 +37,8 @@
     timeout_ms: float  # until its client stops waiting
     concurrency: int = 1  # requests that an instance of the function serves at once
     memory_mb: float | None = None  # of an instance
-    start_ms: float | None = None  # typical time that a cold start takes
-    hint_ms: float | None = None  # typical time that a run takes
+    expected_start_ms: float | None = None  # typical time that a cold start takes
+    expected_run_ms: float | None = None  # typical time that a run takes
     client_id: str = ""  # the client's own id, where several requests may bring the same
     age_ms: float = 0.0  # how long ago it came
 
--- a/function_router/decisions/router.py
+++ b/function_router/decisions/router.py
@@ -150,7 +150,7 @@
             functions[name] = Function(name, event.class_name, event.concurrency, None, hash64(name))
         fn = functions[name]
         fn.class_name, fn.concurrency = event.class_name, max(1, event.concurrency)
-        fn.hinted_start_ms = event.start_ms or fn.hinted_start_ms
+        fn.hinted_start_ms = event.expected_start_ms or fn.hinted_start_ms
         return fn
 
     def _on_request_cancelled(self, event: events.RequestCancelled) -> None:
@@ -466,7 +466,7 @@
         self.max_in_flight = in_time if self.many_routers and has_quotas else math.inf
 
     def _arrival_rate(self) -> float:  # own, a millisecond; older arrivals are forgotten
-        stretch_ms = max(LATE_START_MS, (self.settings.start_window_ms or RATE_MS) - LATE_START_MS)
+        stretch_ms = max(LATE_START_MS, (self.settings.start_order_window_ms or RATE_MS) - LATE_START_MS)
         while self.recent_arrivals and next(iter(self.recent_arrivals.values())) <= self.now_ms - stretch_ms:
             self.recent_arrivals.popitem(last=False)
         return len(self.recent_arrivals) / stretch_ms
@@ -669,7 +669,7 @@
     def _is_probing(self, fn: Function) -> bool:  # for a round trip at the most
         return self.now_ms - fn.probed_ms < PROBE_WAIT_MS and any(pool.probes for pool in fn.pools.values())
 
-    def recount_start_order(self, counted_ms: float, now_ms: float) -> float | None:
+    def revalidate_start_order(self, counted_ms: float, now_ms: float) -> float | None:
         """When an order counts from whose first byte may leave now; None where the ration forbids it."""
         if now_ms - counted_ms <= LATE_START_MS:
             return counted_ms
@@ -735,8 +735,8 @@
         return free and self._may_start()
 
     def _is_rationed(self) -> bool:  # would one more order that leaves now be too many?
-        settings, window_ms = self.settings, self.settings.start_window_ms
+        settings, window_ms = self.settings, self.settings.start_order_window_ms
         self.start_order_times.forget_before(self.now_ms - window_ms - settings.tick_ms - LATE_START_MS)
         self._arrival_rate()  # forgets old arrivals
-        ration = settings.free_starts + settings.starts_per_request * len(self.recent_arrivals)
+        ration = settings.start_order_burst + settings.start_orders_per_request * len(self.recent_arrivals)
         return window_ms > 0 and len(self.start_order_times) + 1 > ration
--- a/function_router/decisions/settings.py
+++ b/function_router/decisions/settings.py
@@ -39,9 +39,9 @@
     max_retry_after_ms: float = 0.0  # 0: clients take no advice
     keep_alive_ms: float = 10000.0  # an idle instance stays at least this long
     starts_on_request: bool = False  # a request that finds no instance starts one by itself
-    start_window_ms: float = 0.0  # of the ration of start orders; 0: they are not rationed
-    free_starts: float = 0.0  # start orders that the ration allows in any window
-    starts_per_request: float = 0.0  # and so many more for each request of the window
+    start_order_window_ms: float = 0.0  # of the ration of start orders; 0: they are not rationed
+    start_order_burst: float = 0.0  # start orders that the ration allows in any window
+    start_orders_per_request: float = 0.0  # and so many more for each request of the window
     slow_start_ms: float = 10000.0  # a worker that starts is at full capacity no later than this
     slow_start_initial: float = 0.2  # and begins at this part of it or more
     overload_window_ms: float = 1000.0  # one in slow start fails when sent, for this long,
--- a/function_router/net/client_connection.py
+++ b/function_router/net/client_connection.py
@@ -269,7 +269,7 @@
             idempotency_key=parsed.idempotency_key,
             concurrency=parsed.concurrency,
             memory_mb=parsed.memory_mb,
-            start_ms=parsed.start_ms,
+            expected_start_ms=parsed.expected_start_ms,
             reply=lambda answer: self._reply(seqid, answer),
             age_ms=age_ms,
             is_client_connected=self._is_client_connected,
--- a/function_router/net/client_request.py
+++ b/function_router/net/client_request.py
@@ -46,7 +46,7 @@
         idempotency_key: names the request to workers that drop repeats; empty where there is none.
         concurrency: requests that one instance of the function may run at once.
         memory_mb: memory that one instance takes; None where the client does not say.
-        start_ms: how long an instance takes to start; None where the client does not say.
+        expected_start_ms: how long an instance takes to start; None where the client does not say.
     """
 
     request_id: bytes
@@ -58,7 +58,7 @@
     idempotency_key: str
     concurrency: int
     memory_mb: float | None
-    start_ms: float | None
+    expected_start_ms: float | None
 
 
 def parse_client_request(
@@ -94,7 +94,7 @@
         idempotency_key=idempotency_key,
         concurrency=_parse_concurrency(properties),
         memory_mb=_parse_optional_number(properties, PROPERTY_MEMORY_MB),
-        start_ms=_parse_optional_number(properties, PROPERTY_START_MS),
+        expected_start_ms=_parse_optional_number(properties, PROPERTY_START_MS),
     )
 
 
--- a/function_router/net/pending_request.py
+++ b/function_router/net/pending_request.py
@@ -55,7 +55,7 @@
     idempotency_key: str
     concurrency: int  # requests that an instance of the function serves at once
     memory_mb: float | None  # of an instance
-    start_ms: float | None  # typical time that a cold start takes
+    expected_start_ms: float | None  # typical time that a cold start takes
     reply: Callable[[FinalAnswer], None]
     age_ms: float  # how long its last bytes lay in the socket before they were read
     is_client_connected: Callable[[], bool]  # closes the connection as a side effect if the client has gone
--- a/function_router/net/request_table.py
+++ b/function_router/net/request_table.py
@@ -31,8 +31,8 @@
     Rejected,
     Served,
 )
-from function_router.net.start_orders import RecountStartOrder, StartOrderSender
-from function_router.net.start_rules import Refusal, request_refusal
+from function_router.net.send_checks import NotSentReason, check_request
+from function_router.net.start_orders import RevalidateStartOrder, StartOrderSender
 from function_router.net.telemetry import ANSWERS, Telemetry
 from function_router.net.timer_wheel import Timer
 from function_router.net.worker_messages import Answer, Attempt, Result
@@ -63,7 +63,7 @@
         pool: WorkerPool,
         wire: TransportSettings,
         classes: Mapping[str, RequestClass],
-        recount_start_order: RecountStartOrder,
+        revalidate_start_order: RevalidateStartOrder,
         telemetry: Telemetry,
     ) -> None:
         self.pending: dict[str, PendingRequest] = {}
@@ -72,7 +72,9 @@
         self._wire = wire
         self._classes = classes
         self._telemetry = telemetry
-        self._start_orders = StartOrderSender(loop, pool, recount_start_order, self._add_function_trace_step)
+        self._start_orders = StartOrderSender(
+            loop, pool, revalidate_start_order, self._add_function_trace_step
+        )
         self._batch_ms = 0.0  # when the batch whose actions are being carried out was handled
         self._pending_body_bytes = 0
         self._shutdown_at_ms = math.inf  # from then on the process may be killed
@@ -106,7 +108,7 @@
                 timeout_ms=timeout_ms,
                 concurrency=client_request.concurrency,
                 memory_mb=client_request.memory_mb,
-                start_ms=client_request.start_ms,
+                expected_start_ms=client_request.expected_start_ms,
                 client_id=client_request.id.hex(),
                 age_ms=client_request.age_ms,
             )
@@ -237,7 +239,7 @@
         return Attempt(
             worker_id=worker_id,
             on_done=lambda attempt, result: self._on_attempt_done(key, number, attempt, result),
-            find_refusal=lambda: self._find_refusal(key),
+            reason_not_to_send=lambda: self._reason_not_to_send(key),
             exchange_id=client_request.id,
             class_name=client_request.class_name,
             function=client_request.function,
@@ -246,13 +248,13 @@
             deadline_ms=request.deadline_ms,
         )
 
-    def _find_refusal(self, key: str) -> Refusal | None:
+    def _reason_not_to_send(self, key: str) -> NotSentReason | None:
         """Why an attempt's first byte may not leave now, which may be long after it was decided on."""
         request = self.pending.get(key)
         if request is None:
-            return Refusal.REQUEST_FINISHED
+            return NotSentReason.REQUEST_FINISHED
         request_class = self._classes.get(request.client_request.class_name)
-        return request_refusal(request, request_class, self._attempts_of(request), monotonic_ms())
+        return check_request(request, request_class, self._attempts_of(request), monotonic_ms())
 
     def _attempts_of(self, request: PendingRequest) -> list[Attempt]:
         """The attempts of a request that are in flight."""
@@ -285,7 +287,7 @@
     def _report_of(self, attempt: Attempt, result: Result) -> _AttemptReport:
         if not isinstance(result, Answer):
             outcome = outcome_of(result, attempt.is_started)
-            cause = f" ({attempt.refusal.name})" if attempt.refusal else ""
+            cause = f" ({attempt.not_sent_reason.name})" if attempt.not_sent_reason else ""
             return _AttemptReport(outcome, StartKind.UNKNOWN, None, result.name + cause)
         in_flight = self._reported_in_flight(result)
         description = f"{result.outcome.name} {result.start_kind.name} in flight {in_flight}"
--- a/function_router/net/router_process.py
+++ b/function_router/net/router_process.py
@@ -105,7 +105,7 @@
         self.telemetry = Telemetry(self.log)
         self.pool = WorkerPool(self.loop, wire, max_workers, config.seed, self.telemetry)
         self.table = RequestTable(
-            self.loop, self.pool, wire, classes, self.router.recount_start_order, self.telemetry
+            self.loop, self.pool, wire, classes, self.router.revalidate_start_order, self.telemetry
         )
         start_times = StartTimes(self.loop.clock)
         self._registry = EndpointRegistry(self.pool, self.loop.submit, start_times, self.log)
--- a/function_router/net/start_rules.py
+++ b/function_router/net/send_checks.py
@@ -20,7 +20,7 @@
 IDEMPOTENCY_WINDOW_MARGIN_MS = 50.0
 
 
-class Refusal(Enum):
+class NotSentReason(Enum):
     """Why an exchange may not start."""
 
     WORKER_UNKNOWN = auto()  # the endpoint list has no such worker, or no longer
@@ -30,29 +30,29 @@
     REQUEST_FINISHED = auto()  # its request has its final answer, or was cancelled
     CLIENT_GONE = auto()  # its client has closed, which may not have been read yet
     IDEMPOTENCY_WINDOW_PASSED = auto()  # workers may have forgotten the attempt before
-    START_BUDGET_SPENT = auto()  # one more start order would exceed the ration
+    START_ORDER_LIMIT_REACHED = auto()  # one more start order would exceed the ration
 
 
-def worker_refusal(exchange: "Exchange", state: WorkerState) -> Refusal | None:
+def check_worker(exchange: "Exchange", state: WorkerState) -> NotSentReason | None:
     """Why a worker in this state must not get the exchange; None where it may."""
     if state is WorkerState.REMOVED:
-        return Refusal.WORKER_REMOVED
+        return NotSentReason.WORKER_REMOVED
     if state is WorkerState.DRAINING and exchange.is_new_work:
-        return Refusal.WORKER_DRAINING
+        return NotSentReason.WORKER_DRAINING
     return None
 
 
-def start_refusal(exchange: "Exchange", state: WorkerState) -> Refusal | None:
+def check_exchange(exchange: "Exchange", state: WorkerState) -> NotSentReason | None:
     """Why an exchange must not send its first byte now to a worker in this state; None where it may."""
-    return worker_refusal(exchange, state) or exchange.find_refusal()
+    return check_worker(exchange, state) or exchange.reason_not_to_send()
 
 
-def request_refusal(
+def check_request(
     request: PendingRequest,
     request_class: RequestClass | None,
     attempts: Iterable["Attempt"],
     now_ms: float,
-) -> Refusal | None:
+) -> NotSentReason | None:
     """Why no attempt of a pending request may start; None where one may.
 
     Args:
@@ -62,9 +62,9 @@
         now_ms: the time on the monotonic clock.
     """
     if not is_in_idempotency_window(request, request_class, attempts, now_ms):
-        return Refusal.IDEMPOTENCY_WINDOW_PASSED
+        return NotSentReason.IDEMPOTENCY_WINDOW_PASSED
     if not request.client_request.is_client_connected():
-        return Refusal.CLIENT_GONE
+        return NotSentReason.CLIENT_GONE
     return None
 
 
--- a/function_router/net/start_orders.py
+++ b/function_router/net/start_orders.py
@@ -7,11 +7,11 @@
 from function_router.net.clock import monotonic_ms
 from function_router.net.close_reason import outcome_of
 from function_router.net.event_loop import EventLoop
-from function_router.net.start_rules import Refusal
+from function_router.net.send_checks import NotSentReason
 from function_router.net.worker_messages import Answer, Result, StartOrder
 from function_router.net.worker_pool import WorkerPool
 
-RecountStartOrder = Callable[[float, float], float | None]
+RevalidateStartOrder = Callable[[float, float], float | None]
 """Given the time from which a start order counts and the time now, the time from which it counts if its first
 byte leaves now; None if it must not leave. Both are times of the decision module's clock."""
 
@@ -26,12 +26,12 @@
         self,
         loop: EventLoop,
         pool: WorkerPool,
-        recount_start_order: RecountStartOrder,
+        revalidate_start_order: RevalidateStartOrder,
         add_trace_step: Callable[[str, str], None],
     ) -> None:
         self._loop = loop
         self._pool = pool
-        self._recount_start_order = recount_start_order
+        self._revalidate_start_order = revalidate_start_order
         self._add_trace_step = add_trace_step
 
     def send(self, action: EnsureInstances, decided_at_ms: float) -> None:
@@ -40,18 +40,18 @@
         `decided_at_ms` is the time of the batch of events that led to it.
         """
         self._add_trace_step(action.function, f"ensure {action.instances} instances at {action.worker_id}")
-        find_refusal = self._budget_check(decided_at_ms) if action.instances else lambda: None
+        reason_not_to_send = self._budget_check(decided_at_ms) if action.instances else lambda: None
         self._pool.ensure_instances(
             StartOrder(
                 worker_id=action.worker_id,
                 on_done=self._on_done,
                 function=action.function,
                 instances=action.instances,
-                find_refusal=find_refusal,
+                reason_not_to_send=reason_not_to_send,
             )
         )
 
-    def _budget_check(self, decided_at_ms: float) -> Callable[[], Refusal | None]:
+    def _budget_check(self, decided_at_ms: float) -> Callable[[], NotSentReason | None]:
         """Return a check for each time that the first byte of an order could leave.
 
         An order may wait long for its connection. It then counts against the budget of instance starts from
@@ -59,13 +59,13 @@
         """
         counted_ms: float | None = decided_at_ms
 
-        def find_refusal() -> Refusal | None:
+        def reason_not_to_send() -> NotSentReason | None:
             nonlocal counted_ms
             if counted_ms is not None:
-                counted_ms = self._recount_start_order(counted_ms, self._loop.clock.now_ms())
-            return None if counted_ms is not None else Refusal.START_BUDGET_SPENT
+                counted_ms = self._revalidate_start_order(counted_ms, self._loop.clock.now_ms())
+            return None if counted_ms is not None else NotSentReason.START_ORDER_LIMIT_REACHED
 
-        return find_refusal
+        return reason_not_to_send
 
     def _on_done(self, order: StartOrder, result: Result) -> None:
         if isinstance(result, Answer):
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -9,7 +9,7 @@
 from function_router.net.codecs import worker_frames as frames
 from function_router.net.connection import Connection, Unread
 from function_router.net.event_loop import EventLoop
-from function_router.net.start_rules import Refusal, start_refusal
+from function_router.net.send_checks import NotSentReason, check_exchange
 from function_router.net.telemetry import Telemetry
 from function_router.net.timer_wheel import Timer
 from function_router.net.worker_messages import Attempt, Exchange
@@ -54,7 +54,7 @@
     def on_started(self, exchange: Exchange, written_at_ms: float) -> None:
         """The first byte of an exchange was written, at this time of the monotonic clock."""
 
-    def refuse(self, exchange: Exchange, refusal: Refusal) -> None:
+    def finish_unsent(self, exchange: Exchange, not_sent_reason: NotSentReason) -> None:
         """An exchange on the connection, of which nothing was written, may not start any more."""
 
 
@@ -265,8 +265,8 @@
     def on_write_delayed(self) -> None:
         """Refuse exchanges that may not start any more, and have the others state the time left now."""
         for exchange in self.unwritten():
-            if refusal := start_refusal(exchange, self.worker.state):
-                self._owner.refuse(exchange, refusal)
+            if not_sent_reason := check_exchange(exchange, self.worker.state):
+                self._owner.finish_unsent(exchange, not_sent_reason)
             elif exchange.pending_write is not None:
                 self.connection.replace_write(exchange.pending_write, exchange.encode())
 
--- a/function_router/net/worker_messages.py
+++ b/function_router/net/worker_messages.py
@@ -9,7 +9,7 @@
 from function_router.net.clock import monotonic_ms
 from function_router.net.close_reason import CloseReason
 from function_router.net.codecs import worker_frames as frames
-from function_router.net.start_rules import Refusal
+from function_router.net.send_checks import NotSentReason
 from function_router.net.timer_wheel import Timer
 from function_router.net.write_queue import PendingWrite
 
@@ -58,7 +58,7 @@
     return 0
 
 
-def _no_refusal() -> Refusal | None:
+def _always_sendable() -> NotSentReason | None:
     return None
 
 
@@ -69,8 +69,8 @@
     worker_id: int
     exchange_id: bytes = b""  # eight bytes, under which the worker answers
     # Why it may not start, apart from the worker's state; called whenever its first byte could leave.
-    find_refusal: Callable[[], Refusal | None] = _no_refusal
-    refusal: Refusal | None = field(default=None, init=False)  # why it was not started
+    reason_not_to_send: Callable[[], NotSentReason | None] = _always_sendable
+    not_sent_reason: NotSentReason | None = field(default=None, init=False)  # why it was not started
     created_at_ms: float = field(default_factory=monotonic_ms, init=False)
     connection: "WorkerConnection | None" = field(default=None, init=False)
     pending_write: PendingWrite | None = field(default=None, init=False)
--- a/function_router/net/worker_pool.py
+++ b/function_router/net/worker_pool.py
@@ -13,7 +13,7 @@
 from function_router.net.idle_limit import IdleLimit
 from function_router.net.invariants import MAX_TIMEOUT_EXCESS_MS, Invariant
 from function_router.net.pooled_worker import MAX_CONNECTIONS, PooledWorker
-from function_router.net.start_rules import Refusal, worker_refusal
+from function_router.net.send_checks import NotSentReason, check_worker
 from function_router.net.telemetry import (
     CLOSED,
     CONNECTS,
@@ -111,7 +111,7 @@
     def _return_unsent(self, worker: PooledWorker) -> None:
         """Finish what was not sent to a worker yet and may not be sent to it any more."""
         for exchange in [*worker.waiting, *worker.unwritten_exchanges()]:
-            if worker_refusal(exchange, worker.state):
+            if check_worker(exchange, worker.state):
                 self._withdraw(exchange)
                 self._finish(exchange, CloseReason.DRAINING)
 
@@ -125,7 +125,7 @@
         """Send an attempt; it finishes at its deadline at the latest."""
         left_ms = attempt.deadline_ms - monotonic_ms()
         if left_ms <= 0:
-            self.refuse(attempt, Refusal.DEADLINE_PASSED)
+            self.finish_unsent(attempt, NotSentReason.DEADLINE_PASSED)
             return
         self.telemetry.count(REQUESTS)
         attempt.timer = self.loop.timers.call_later(left_ms, lambda: self._on_timeout(attempt))
@@ -145,17 +145,17 @@
             return
         worker = self.workers.get(exchange.worker_id)
         if worker is None:
-            self.refuse(exchange, Refusal.WORKER_UNKNOWN)
+            self.finish_unsent(exchange, NotSentReason.WORKER_UNKNOWN)
             return
-        if refusal := worker_refusal(exchange, worker.state):
-            self.refuse(exchange, refusal)
+        if not_sent_reason := check_worker(exchange, worker.state):
+            self.finish_unsent(exchange, not_sent_reason)
             return
         connection = worker.choose_connection(exchange.exchange_id, self._idle_limit.limit_ms)
         if connection is None:
             worker.waiting.append(exchange)
             self._connect_for_waiting(worker)
-        elif refusal := exchange.find_refusal():
-            self.refuse(exchange, refusal)
+        elif not_sent_reason := exchange.reason_not_to_send():
+            self.finish_unsent(exchange, not_sent_reason)
         else:
             self._start(exchange, connection)
 
@@ -284,9 +284,9 @@
     def on_started(self, exchange: Exchange, written_at_ms: float) -> None:
         """Check at run time that the exchange was allowed to start when its first byte was written."""
         worker = self.workers.get(exchange.worker_id)
-        refusal = worker_refusal(exchange, worker.state) if worker else Refusal.WORKER_UNKNOWN
-        if refusal or exchange.is_done:
-            self._record_violation(Invariant.STARTED_BY_THE_RULES, exchange, str(refusal))
+        not_sent_reason = check_worker(exchange, worker.state) if worker else NotSentReason.WORKER_UNKNOWN
+        if not_sent_reason or exchange.is_done:
+            self._record_violation(Invariant.STARTED_BY_THE_RULES, exchange, str(not_sent_reason))
         excess_ms = exchange.timeout_excess_ms(written_at_ms)
         if excess_ms > MAX_TIMEOUT_EXCESS_MS:
             self._record_violation(Invariant.TIMEOUT_PASSED_ON, exchange, f"{excess_ms:.0f} ms")
@@ -307,18 +307,18 @@
             self._withdraw(exchange)
             self._finish(exchange, CloseReason.CANCELLED)
 
-    def refuse(self, exchange: Exchange, refusal: Refusal) -> None:
+    def finish_unsent(self, exchange: Exchange, not_sent_reason: NotSentReason) -> None:
         """Finish an exchange that was not sent and may not be."""
         if not exchange.is_done:
-            exchange.refusal = refusal
-            self.telemetry.count(NOT_STARTED, refusal.name)
+            exchange.not_sent_reason = not_sent_reason
+            self.telemetry.count(NOT_STARTED, not_sent_reason.name)
             self._withdraw(exchange)
             self._finish(exchange, CloseReason.NOT_SENT)
 
     def cancel_if_unsent(self, exchange: Exchange) -> None:
         """Cancel an exchange whose request is over, unless the worker may have got some of it."""
         if not exchange.is_started:
-            self.refuse(exchange, Refusal.REQUEST_FINISHED)
+            self.finish_unsent(exchange, NotSentReason.REQUEST_FINISHED)
 
     def _on_timeout(self, exchange: Exchange) -> None:
         is_started = exchange.is_started
--- a/function_router/simulator_codec.py
+++ b/function_router/simulator_codec.py
@@ -143,8 +143,8 @@
         timeout_ms=body.get(REQUEST_TIMEOUT) or 0.0,
         concurrency=body.get(REQUEST_CONCURRENCY) or 1,
         memory_mb=body.get(REQUEST_MEMORY_MB),
-        start_ms=body.get(REQUEST_START_TIME),
-        hint_ms=body.get(REQUEST_HINT) if flags & HINT_IS_VALID else None,
+        expected_start_ms=body.get(REQUEST_START_TIME),
+        expected_run_ms=body.get(REQUEST_HINT) if flags & HINT_IS_VALID else None,
     )
 
 
--- a/tests/decisions/test_many_routers_limits.py
+++ b/tests/decisions/test_many_routers_limits.py
@@ -41,7 +41,7 @@
 
 def test_worker_is_not_silent_while_a_start_takes_its_time():
     harness = one_of_many_routers(40)
-    actions = harness.answer_probes(harness.request("r", start_ms=800.0))
+    actions = harness.answer_probes(harness.request("r", expected_start_ms=800.0))
     orders = actions_of(actions, EnsureInstances)
 
     actions = harness.run_timer_until(harness.now_ms + 900)
--- a/tests/decisions/test_scaling.py
+++ b/tests/decisions/test_scaling.py
@@ -132,7 +132,9 @@
 
 
 def test_start_orders_are_rationed_by_requests():
-    harness = DecisionHarness(start_window_ms=5000.0, free_starts=2.0, starts_per_request=0.2)
+    harness = DecisionHarness(
+        start_order_window_ms=5000.0, start_order_burst=2.0, start_orders_per_request=0.2
+    )
 
     for number in range(9):
         harness.answer_probes(harness.request(f"r{number}", function=f"f{number}"))
@@ -144,7 +146,9 @@
 
 
 def test_cancelled_requests_allow_no_start_orders():
-    harness = DecisionHarness(workers=8, start_window_ms=5000.0, free_starts=2.0, starts_per_request=0.3)
+    harness = DecisionHarness(
+        workers=8, start_order_window_ms=5000.0, start_order_burst=2.0, start_orders_per_request=0.3
+    )
     for number in range(200):
         harness.request(f"gone{number}", function="gone")
     harness.feed(*(RequestCancelled(f"gone{number}") for number in range(200)))
@@ -163,7 +167,9 @@
     harness = DecisionHarness()
     initial_limit = harness.router.start_order_limit.value
 
-    orders = actions_of(harness.answer_probes(harness.request("r1", start_ms=100.0)), EnsureInstances)
+    orders = actions_of(
+        harness.answer_probes(harness.request("r1", expected_start_ms=100.0)), EnsureInstances
+    )
     harness.now_ms += 1000
     harness.report_instances(orders[0].worker_id, 1)
     lowered_limit = harness.router.start_order_limit.value
--- a/tests/helpers/decision_harness.py
+++ b/tests/helpers/decision_harness.py
@@ -81,14 +81,20 @@
         class_name="idempotent",
         timeout_ms=2500.0,
         concurrency=1,
-        start_ms=500.0,
+        expected_start_ms=500.0,
         tenant=None,
     ):
         """Let a request of a client arrive."""
         tenant = self.tenant if tenant is None else tenant
         return self.feed(
             RequestArrived(
-                request_id, function, class_name, tenant, timeout_ms, concurrency, start_ms=start_ms
+                request_id,
+                function,
+                class_name,
+                tenant,
+                timeout_ms,
+                concurrency,
+                expected_start_ms=expected_start_ms,
             )
         )
 
--- a/tests/net/test_client_request.py
+++ b/tests/net/test_client_request.py
@@ -25,7 +25,7 @@
 
     parsed = parse_client_request(message, classes)
 
-    assert (parsed.concurrency, parsed.memory_mb, parsed.start_ms) == (2, 512.0, 640.5)
+    assert (parsed.concurrency, parsed.memory_mb, parsed.expected_start_ms) == (2, 512.0, 640.5)
     assert (parsed.request_id.hex(), parsed.function) == (REQUEST_FIELDS["call"], FUNCTION)
     assert parsed.timeout_ms == 1500.0
 
--- a/tests/net/test_pending_request.py
+++ b/tests/net/test_pending_request.py
@@ -25,7 +25,7 @@
         idempotency_key="",
         concurrency=1,
         memory_mb=None,
-        start_ms=None,
+        expected_start_ms=None,
         reply=lambda _answer: None,
         age_ms=0.0,
         is_client_connected=lambda: True,
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -261,7 +261,15 @@
             }
         },
         RequestArrived(
-            "t/x", "fn:a", "score", "acme", 240.0, concurrency=2, memory_mb=384, start_ms=90.0, hint_ms=12.0
+            "t/x",
+            "fn:a",
+            "score",
+            "acme",
+            240.0,
+            concurrency=2,
+            memory_mb=384,
+            expected_start_ms=90.0,
+            expected_run_ms=12.0,
         ),
     ),
     (
