--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -222,7 +222,7 @@
         return subprocess.run(
             [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"],
             cwd=tmp_path,
-            env={**os.environ, "PYTHONPATH": str(ROOT)},
+            env={**os.environ, "PYTHONPATH": f"{ROOT}{os.pathsep}{TESTS}"},  # the package and the helpers
             capture_output=True,
             check=False,
             text=True,
