--- a/tests/helpers/program_launcher.py
+++ b/tests/helpers/program_launcher.py
@@ -8,59 +8,71 @@
 import msgspec
 import pytest
 
+from helpers.configuration import router_config
 from helpers.fake_endpoint_log import FakeEndpointLog
-from helpers.process_harness import router_config
 from helpers.sockets import wait_readable
 
 ROOT = Path(__file__).parent.parent.parent
 OVERRIDES = ("ROUTER_LISTEN", "ROUTER_NAME")  # variables that take precedence over the configuration
-MAX_ROUNDS = 4000
-ROUND_S = 0.005
+MAX_ROUNDS = 4000  # of serving the peers, until a condition counts as never met
+ROUND_S = 0.005  # of waiting for the client in each of them
 
 
 class ProgramLauncher:
     """Starts the program on configurations, each with an endpoint log; all end with the test.
 
-    `endpoint_log` is that of the last configuration.
+    Attributes:
+        endpoint_log: The endpoint log of the last configuration that was made.
     """
 
     def __init__(self, cleanups, folder):
+        """Write configurations into a folder; `cleanups` is the fixture of that name."""
         self.endpoint_log = None
         self._cleanups = cleanups
         self._folder = folder
         self._started = 0
 
+    def make_config(self, *records, **fields):
+        """A configuration with these endpoint records, and a fresh endpoint log."""
+        self.open_endpoint_log()
+        return router_config(self.endpoint_log, *records, **fields)
+
+    def open_endpoint_log(self, port=0):
+        """Replace the endpoint log by a fresh one."""
+        self.endpoint_log = FakeEndpointLog(port)
+        self._cleanups.callback(self.endpoint_log.close)
+
     def launch(self, config, *arguments):
-        """The started process: `serve`, or the command that the arguments are."""
-        self._started += 1
-        path = self._folder / f"config-{self._started}.json"
-        path.write_bytes(msgspec.json.encode(config))
-        environment = {name: value for name, value in os.environ.items() if name not in OVERRIDES}
-        environment |= {"ROUTER_CONFIG": str(path), "PYTHONPATH": str(ROOT)}
+        """Start the program on a configuration and return its process.
+
+        Args:
+            config: The configuration, as an object.
+            arguments: The command with its arguments; `serve` without any.
+        """
         program = subprocess.Popen(
             [sys.executable, "-m", "function_router", *(arguments or ["serve"])],
-            env=environment,
+            env=self._environment(self._write(config)),
             cwd=ROOT,
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             text=True,
         )
         for cleanup in (program.stderr.close, program.stdout.close, program.wait, program.kill):
-            self._cleanups.callback(cleanup)
+            self._cleanups.callback(cleanup)  # the last one runs first
         return program
 
-    def make_config(self, *records, **fields):
-        """A configuration with these endpoint records, and a fresh endpoint log."""
-        self.open_endpoint_log()
-        return router_config(self.endpoint_log, *records, **fields)
+    def _write(self, config):
+        self._started += 1
+        path = self._folder / f"config-{self._started}.json"
+        path.write_bytes(msgspec.json.encode(config))
+        return path
 
-    def open_endpoint_log(self, port=0):
-        """Replace the endpoint log by a fresh one."""
-        self.endpoint_log = FakeEndpointLog(port)
-        self._cleanups.callback(self.endpoint_log.close)
+    def _environment(self, config_path):
+        inherited = {name: value for name, value in os.environ.items() if name not in OVERRIDES}
+        return inherited | {"ROUTER_CONFIG": str(config_path), "PYTHONPATH": str(ROOT)}
 
     def receive_until(self, client, condition, *others):
-        """Serve the client and the other peers until a condition holds."""
+        """Let the client and the other peers receive until a condition holds."""
         for _ in range(MAX_ROUNDS):
             for peer in (client, *others):
                 peer.receive()
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -7,9 +7,9 @@
 from unittest import mock
 
 import pytest
-from helpers.fake_client import encode_request
+from helpers.client_messages import encode_request
+from helpers.configuration import SETTINGS
 from helpers.fake_worker import FakeWorker
-from helpers.process_harness import SETTINGS
 from helpers.sockets import wait_readable
 
 from function_router.decisions.actions import SendRequest
--- a/tests/net/test_client_request.py
+++ b/tests/net/test_client_request.py
@@ -1,7 +1,7 @@
 """Tests of parsing and checking the fields of a client's request."""
 
 import pytest
-from helpers.fake_client import FUNCTION, REQUEST_FIELDS
+from helpers.client_messages import FUNCTION, REQUEST_FIELDS
 
 from function_router.config import parse_settings
 from function_router.net.client_request import parse_client_request
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -1,8 +1,8 @@
 """Tests of `endpoint_registry`."""
 
 import pytest
+from helpers.configuration import endpoint_event
 from helpers.fake_worker import FakeWorker
-from helpers.process_harness import endpoint_event
 
 from function_router.config import ConfigurationError, EndpointList, EndpointRecord
 from function_router.decisions.types import WorkerState
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -4,9 +4,9 @@
 from unittest import mock
 
 import pytest
+from helpers.configuration import endpoint_event
 from helpers.fake_endpoint_log import FakeEndpointLog
 from helpers.fake_worker import FakeWorker
-from helpers.process_harness import endpoint_event
 
 from function_router.decisions.types import WorkerState
 from function_router.net import clock, endpoint_registry, endpoint_watch
--- a/tests/net/test_event_ordering_requests.py
+++ b/tests/net/test_event_ordering_requests.py
@@ -7,8 +7,10 @@
 from unittest import mock
 
 import pytest
+from helpers.configuration import SETTINGS
+from helpers.exchanges import attempt
 from helpers.fake_worker import FakeWorker
-from helpers.process_harness import OTHER_UNLISTED_WORKER_ID, SETTINGS, UNLISTED_WORKER_ID, attempt
+from helpers.process_harness import OTHER_UNLISTED_WORKER_ID, UNLISTED_WORKER_ID
 from helpers.sockets import wait_readable
 
 from function_router.decisions.actions import CancelAttempt, SendRequest
--- a/tests/net/test_invariants.py
+++ b/tests/net/test_invariants.py
@@ -1,8 +1,9 @@
 """Tests of the run-time checks: each one counts what was broken on purpose."""
 
 import pytest
+from helpers.exchanges import attempt
 from helpers.fake_worker import FakeWorker
-from helpers.process_harness import UNLISTED_WORKER_ID, attempt
+from helpers.process_harness import UNLISTED_WORKER_ID
 
 from function_router.decisions.types import WorkerState
 from function_router.net.close_reason import CloseReason
--- a/tests/net/test_request_table.py
+++ b/tests/net/test_request_table.py
@@ -4,9 +4,9 @@
 from unittest import mock
 
 import pytest
-from helpers.fake_client import FUNCTION
+from helpers.client_messages import FUNCTION
+from helpers.configuration import SETTINGS
 from helpers.fake_worker import FakeWorker
-from helpers.process_harness import SETTINGS
 
 from function_router.decisions.events import RequestCancelled
 from function_router.net import request_table
--- a/tests/net/test_router_process.py
+++ b/tests/net/test_router_process.py
@@ -4,9 +4,9 @@
 
 import msgspec
 import pytest
+from helpers.configuration import endpoint_event
 from helpers.fake_endpoint_log import FakeEndpointLog
 from helpers.fake_worker import FakeWorker
-from helpers.process_harness import endpoint_event
 from helpers.sockets import wait_readable
 
 from function_router.config import ConfigurationError
--- a/tests/net/test_start_order_limit.py
+++ b/tests/net/test_start_order_limit.py
@@ -3,9 +3,10 @@
 from unittest import mock
 
 import pytest
-from helpers.fake_client import FUNCTION
+from helpers.client_messages import FUNCTION
+from helpers.configuration import SETTINGS
 from helpers.fake_worker import FakeWorker
-from helpers.process_harness import SETTINGS, UNLISTED_WORKER_ID
+from helpers.process_harness import UNLISTED_WORKER_ID
 
 from function_router.decisions.actions import EnsureInstances
 from function_router.net import worker_connection
--- a/tests/net/test_thrift.py
+++ b/tests/net/test_thrift.py
@@ -3,7 +3,7 @@
 import struct
 
 import pytest
-from helpers.fake_client import REQUEST_FIELDS, decode_answer, encode_request
+from helpers.client_messages import REQUEST_FIELDS, decode_answer, encode_request
 from helpers.readers import feed_in_chunks
 
 from function_router.net.codecs import thrift
--- a/tests/net/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -4,8 +4,8 @@
 import time
 from unittest import mock
 
+from helpers.exchanges import attempt, start_order
 from helpers.fake_worker import FakeWorker
-from helpers.process_harness import attempt, start_order
 from helpers.sockets import wait_readable
 
 from function_router.decisions.types import Outcome
--- a/tests/net/test_worker_frames.py
+++ b/tests/net/test_worker_frames.py
@@ -4,7 +4,7 @@
 import zlib
 
 import pytest
-from helpers.fake_client import FUNCTION
+from helpers.client_messages import FUNCTION
 from helpers.readers import feed_in_chunks
 
 from function_router.net.codecs import worker_frames
--- a/tests/net/test_worker_pool.py
+++ b/tests/net/test_worker_pool.py
@@ -6,8 +6,10 @@
 
 import msgspec
 import pytest
+from helpers.configuration import endpoint_event
+from helpers.exchanges import attempt, start_order
 from helpers.fake_worker import FakeWorker
-from helpers.process_harness import UNLISTED_WORKER_ID, attempt, endpoint_event, start_order
+from helpers.process_harness import UNLISTED_WORKER_ID
 
 from function_router.decisions.types import Outcome, WorkerState
 from function_router.net import pooled_worker, router_process
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,7 +1,7 @@
 """Tests of `function_router.config`."""
 
 import pytest
-from helpers.process_harness import SETTINGS
+from helpers.configuration import SETTINGS
 
 from function_router.config import (
     ConfigurationError,
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -11,9 +11,9 @@
 
 import msgspec
 import pytest
+from helpers.configuration import endpoint_event
 from helpers.fake_client import FakeClient
 from helpers.fake_worker import FakeWorker
-from helpers.process_harness import endpoint_event
 
 ROOT = Path(__file__).parent.parent
 EXIT_TIMEOUT_S = 20
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -7,8 +7,8 @@
 
 import msgspec
 import pytest
+from helpers.configuration import router_config
 from helpers.fake_endpoint_log import FakeEndpointLog
-from helpers.process_harness import router_config
 
 from function_router import server
 from function_router.net.transient_errors import START_RETRY_S, retry_at_start
