--- a/tests/helpers/fake_clock.py
+++ b/tests/helpers/fake_clock.py
@@ -2,7 +2,7 @@
 
 
 class FakeMonotonicClock:
-    """A clock that the test sets or advances."""
+    """A clock that the test sets (`now_ms`) or advances; hand `read_ms` to the code under test."""
 
     def __init__(self, now_ms=0.0):
         self.now_ms = now_ms
--- a/tests/helpers/fake_peer.py
+++ b/tests/helpers/fake_peer.py
@@ -1,15 +1,22 @@
-"""What the stand-ins for the router's peers share: loopback sockets on port 0, read without waiting.
+"""What the stand-ins for the router's peers share: loopback sockets that are read without waiting.
 
-The peers are driven from the test's own thread: `receive` takes what has come, without waiting for more.
+The peers run in the test's own thread: `receive` takes what has come, without waiting for more.
 """
 
 import socket
 
+LOOPBACK = "127.0.0.1"
 RECEIVE_BYTES = 65536
 
 
 class FakePeerConnection:
-    """One connection to the router and all bytes that came on it."""
+    """One connection to the router.
+
+    Attributes:
+        sock: The socket, for tests that write bytes of their own.
+        data: All bytes that have come, but for those that a subclass or a listener has consumed.
+        is_closed: Whether the router or the test has closed it.
+    """
 
     def __init__(self, sock):
         self.sock = sock
@@ -25,7 +32,7 @@
                 self.data += data
                 self.is_closed = not data
         except BlockingIOError:
-            pass
+            pass  # all that has come is read
         except OSError:
             self.is_closed = True
 
@@ -36,24 +43,35 @@
 
 
 class FakeListener:
-    """A peer that listens; its connections are in the order in which they were accepted."""
+    """A peer that the router connects to.
+
+    Attributes:
+        address: The host and port that it listens on.
+        host_port: The same as the endpoint list and the configuration write it.
+        connections: All connections of the router, in the order in which they were accepted.
+    """
 
     def __init__(self, port=0):
-        self.listener = socket.create_server(("127.0.0.1", port))
+        """Listen on this port of loopback, or on one that the system chooses."""
+        self.listener = socket.create_server((LOOPBACK, port))
         self.listener.setblocking(False)
         self.connections = []
         self.address = self.listener.getsockname()
-        self.host_port = f"127.0.0.1:{self.address[1]}"
+        self.host_port = f"{LOOPBACK}:{self.address[1]}"
 
     def receive(self):
         """Accept connections and receive all that has come on each."""
+        self._accept_all()
+        for connection in self.connections:
+            connection.receive()
+
+    def _accept_all(self):
         try:
             while True:
-                self.connections.append(FakePeerConnection(self.listener.accept()[0]))
+                sock, _ = self.listener.accept()
+                self.connections.append(FakePeerConnection(sock))
         except OSError:
-            pass
-        for connection in self.connections:
-            connection.receive()
+            pass  # nobody else connects, or the listener is closed
 
     def close(self):
         """Close the listener and its connections."""
--- a/tests/helpers/fake_worker.py
+++ b/tests/helpers/fake_worker.py
@@ -15,9 +15,14 @@
 
 
 class FakeWorker(FakeListener):
-    """A worker that reports `instances` to each start order or probe, and leaves requests to the test.
+    """A worker that answers start orders and probes by itself, and leaves requests to the test.
 
-    It leaves start orders and probes to the test too where `instances` is None.
+    Attributes:
+        name: Its name in the endpoint list.
+        worker_id: The id that the router derives from that name.
+        instances: The number of instances that it reports to each start order or probe; where it is None, the
+            test answers these.
+        frames: All frames that have come, in their order.
     """
 
     def __init__(self, name="s-1", instances=1):
@@ -44,8 +49,8 @@
         if received.frame.code == worker_frames.ENSURE_INSTANCES and self.instances is not None:
             self.answer(received, fields=f"slots_up={self.instances}")
 
-    def answer(self, received, code=0, fields="res=reused", body=b""):
-        """Answer a frame on its connection."""
+    def answer(self, received, code=worker_frames.OK, fields="res=reused", body=b""):
+        """Answer a frame on its connection; by default, the request was served by a warm instance."""
         exchange_id = received.frame.exchange_id
         data = worker_frames.encode(code, exchange_id, fields, body, worker_frames.FROM_WORKER)
         received.connection.sock.sendall(data)
@@ -56,7 +61,7 @@
 
     @property
     def requests(self):
-        """The requests that it got."""
+        """The frames of the requests that it was sent."""
         return self.received(worker_frames.RUN)
 
     def record(self, phase="in_service", **fields):
--- a/tests/helpers/readers.py
+++ b/tests/helpers/readers.py
@@ -1,8 +1,8 @@
-"""Feeding of incremental parsers."""
+"""Feeds incremental parsers, such as the codecs' frame readers."""
 
 
 def feed_in_chunks(reader, data, size):
-    """All messages that a reader finds in data which comes in chunks of a size."""
+    """All messages that a reader finds in data that comes in chunks of this size."""
     messages = []
     for start in range(0, len(data), size):
         messages += reader.feed(data[start : start + size])
