--- /dev/null
+++ b/tests/test_known_red.py
@@ -0,0 +1,77 @@
+"""Tests of KNOWN-RED.txt: only the tests that it names may fail, and they must."""
+
+import os
+import shutil
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+TESTS = Path(__file__).parent
+ROOT = TESTS.parent
+
+RED_LINE = "tests/test_one.py::test_red, the cause, in short, 5\n"
+GOOD_LINE = "tests/test_one.py::test_good, the cause, in short, 5\n"
+
+
+@pytest.fixture
+def run_pytest_with_known_red(tmp_path):
+    """Run a test that fails and one that passes, with the conftest of this repository and a list."""
+    (tmp_path / "tests").mkdir()
+    shutil.copy(TESTS / "conftest.py", tmp_path / "tests")
+    (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
+    (tmp_path / "tests" / "test_one.py").write_text("def test_red(): assert 0\ndef test_good(): pass\n")
+    environment = {**os.environ, "PYTHONPATH": f"{ROOT}{os.pathsep}{TESTS}"}  # of the package and the helpers
+
+    def run(known_red):
+        (tmp_path / "KNOWN-RED.txt").write_text(known_red)
+        return subprocess.run(
+            [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"],
+            cwd=tmp_path,
+            env=environment,
+            capture_output=True,
+            check=False,
+            text=True,
+        )
+
+    return run
+
+
+@pytest.mark.parametrize(
+    ("known_red", "status"),
+    [
+        pytest.param("", pytest.ExitCode.TESTS_FAILED, id="failing test not listed"),
+        pytest.param(RED_LINE, pytest.ExitCode.OK, id="failing test listed"),
+        pytest.param(GOOD_LINE, pytest.ExitCode.TESTS_FAILED, id="passing test listed"),
+        pytest.param(RED_LINE + GOOD_LINE, pytest.ExitCode.TESTS_FAILED, id="both listed"),
+        pytest.param(4 * RED_LINE, pytest.ExitCode.USAGE_ERROR, id="too many lines"),
+        pytest.param("tests/no, x, 5", pytest.ExitCode.USAGE_ERROR, id="no such test"),
+    ],
+)
+def test_only_what_known_red_names_may_fail_and_it_must(run_pytest_with_known_red, known_red, status):
+    run = run_pytest_with_known_red(known_red)
+
+    assert run.returncode == status, run.stdout + run.stderr
+
+
+def test_cause_of_a_known_failure_is_printed(run_pytest_with_known_red):
+    run = run_pytest_with_known_red(RED_LINE)
+
+    assert run.returncode == pytest.ExitCode.OK
+    assert "the cause, in short (issue 5)" in run.stdout
+
+
+@pytest.mark.parametrize(
+    ("known_red", "message"),
+    [
+        pytest.param(4 * RED_LINE, "at most 3 lines of test, cause, issue", id="too many lines"),
+        pytest.param("tests/test_one.py::test_red\n", "at most 3 lines of test, cause, issue", id="no cause"),
+        pytest.param("tests/no, x, 5", "names no test: tests/no", id="no such test"),
+    ],
+)
+def test_error_in_known_red_is_reported(run_pytest_with_known_red, known_red, message):
+    run = run_pytest_with_known_red(known_red)
+
+    assert run.returncode == pytest.ExitCode.USAGE_ERROR
+    assert message in run.stdout + run.stderr
