--- a/function_router/net/event_loop.py
+++ b/function_router/net/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: a turn takes all sockets that are ready, then timers, one batch of events, then writes."""
+"""The event loop: each turn reads the ready sockets, fires timers, handles a batch of events, then writes."""
 
 import selectors
 import signal
@@ -12,51 +12,66 @@
 from function_router.net.timer_wheel import TimerWheel
 from function_router.net.transient_errors import is_transient
 
-SLOW_TURN_MS = 80.0  # a turn that takes longer is logged: it puts replies that are due at risk
-# A turn that has taken longer looks at the sockets again before it writes: the client of a request may have
-# left meanwhile, and an attempt must not begin more than 100 ms after that.
-MAX_LOOK_AGE_MS = 40.0
-# A call that took longer leaves too much open when it looked.
-MAX_LOOK_UNCERTAINTY_MS = 5.0
-# Looks without a wait, until one finds something; each of them may be interrupted, too.
-MAX_CONFIRMATIONS = 2
-MAX_SIGNALS_PER_READ = 64  # bytes of the wakeup socket, one a signal
-TRACEBACK_FRAMES = 3  # innermost frames of an unhandled exception that are logged
+# A turn that takes longer is logged, as replies may miss their deadlines.
+SLOW_TURN_MS = 80.0
+# A turn that has taken longer polls the sockets again before it writes: the client of a request may have
+# disconnected meanwhile, and an attempt must not start more than 100 ms after that.
+MAX_POLL_AGE_MS = 40.0
+# After a poll that took longer it is too uncertain at which moment the sockets were examined.
+MAX_POLL_UNCERTAINTY_MS = 5.0
+# Polls without a wait that follow such a poll, until one finds something; each may be interrupted as well.
+MAX_CONFIRMING_POLLS = 2
+# Bytes to read from the wakeup socket at once; each signal writes one.
+MAX_SIGNALS_PER_READ = 64
+# Innermost frames of an unhandled exception that are logged.
+TRACEBACK_FRAMES = 3
 
 READ = selectors.EVENT_READ
 WRITE = selectors.EVENT_WRITE
 
 
 class Flushable(Protocol):
-    """Something that gathers writes during a turn and writes them out at its end."""
+    """Something that queues writes during a turn and writes them at its end."""
 
     def on_delayed(self) -> None:
-        """What was gathered is written later than it was meant to be: some of it may be obsolete."""
+        """What is queued is written later than intended, so that some of it may be obsolete."""
 
     def flush(self) -> None:
-        """Write out what was gathered."""
+        """Write what is queued."""
 
 
 class EventLoop:
     """Owns the selector, the timers and the events gathered for the next batch.
 
-    `turn_started_ms` (monotonic) and `turn_started_unix_ms` are the moment right after the current turn's
-    look at the sockets; all that happens in a turn counts as of then, however long the process is held up in
-    it. What the look before did not report came after `previous_look_ms`. `wall_clock_step_ms` is by how much
-    the wall clock was set since then, and `look_count` counts the looks. `run` goes on while `running`.
+    Attributes:
+        timers: the timer wheel, which each turn advances.
+        clock: the decision module's clock.
+        running: `run` returns at the end of the turn in which this becomes False.
+        turn_started_ms: when the current turn's poll returned, on the monotonic clock. Whatever happens in a
+            turn counts as of then, even if the process stalls during the turn.
+        turn_started_unix_ms: the same moment on the wall clock.
+        previous_poll_ms: when the poll before the last one began, on the monotonic clock. What that poll did
+            not report arrived later.
+        wall_clock_step_ms: by how much the wall clock was set between the last two polls.
+        poll_count: how often the sockets were polled since the start.
     """
 
     def __init__(self, decide: Callable[[float, list[Event]], None], log: Callable[[str], None]) -> None:
-        """Hand the events of a turn, with the time as of `clock`, to `decide` in one batch."""
+        """Create a loop without sockets.
+
+        Args:
+            decide: called with the time on `clock` and all events of a turn.
+            log: called with the text of a line.
+        """
         self.timers = TimerWheel()
         self.clock = Clock()
         self.running = True
         self.turn_started_ms = monotonic_ms()
         self.turn_started_unix_ms = unix_ms()
-        self.previous_look_ms = self.turn_started_ms
-        self._look_ms = self.turn_started_ms
+        self.previous_poll_ms = self.turn_started_ms
+        self._last_poll_ms = self.turn_started_ms
         self.wall_clock_step_ms = 0.0
-        self.look_count = 0
+        self.poll_count = 0
         self._decide = decide
         self._log = log
         self._selector = selectors.DefaultSelector()
@@ -80,11 +95,11 @@
         self._selector.unregister(sock)
 
     def submit(self, event: Event) -> None:
-        """Add an event to the next batch; one submitted while a batch is handled waits for the one after."""
+        """Add an event to the next batch; an event submitted while a batch is handled is in the one after."""
         self._pending_events.append(event)
 
     def flush_later(self, part: Flushable) -> None:
-        """Flush a part at the end of the turn, once however often it is asked for."""
+        """Flush a part at the end of the turn, once however often this is called."""
         self._to_flush[part] = None
 
     # --- turns --------------------------------------------------------------------------------
@@ -95,37 +110,43 @@
             self.run_once()
 
     def run_once(self, max_wait_s: float | None = None) -> None:
-        """Run one turn, after a wait for the first socket or timer; `max_wait_s` bounds the wait."""
-        ready = self._look(self._wait_s(max_wait_s))
+        """Wait for a socket or a timer, `max_wait_s` at the longest, and run one turn."""
+        ready = self._poll(self._wait_s(max_wait_s))
         self._run_turn(ready, self.clock.now_ms())
         took_ms = monotonic_ms() - self.turn_started_ms
         if took_ms > SLOW_TURN_MS:
             self._log(f"slow turn: {took_ms:.0f} ms for {len(ready)} sockets")
 
-    def _look(self, wait_s: float | None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for a socket, and note when this look at them was.
+    def _poll(self, wait_s: float | None) -> list[tuple[selectors.SelectorKey, int]]:
+        """Wait until a socket is ready, and record the time of the poll.
 
-        A look counts from before its call: SIGSTOP may come while the call returns. So a wait is followed by
-        a look without one; also as a wait that SIGCONT interrupted may end without having looked.
+        The time of a poll is taken before its system call, as SIGSTOP may stop the process while the call
+        returns. After a long wait that time would say little, so the sockets are then polled once more
+        without waiting. That also covers a wait that SIGCONT interrupted, which may return without having
+        examined the sockets.
         """
-        looked_at_ms = monotonic_ms()
+        polled_at_ms = monotonic_ms()
         ready = self._selector.select(wait_s)
-        if not ready or monotonic_ms() - looked_at_ms > MAX_LOOK_UNCERTAINTY_MS:
-            for _ in range(MAX_CONFIRMATIONS):
-                looked_at_ms = monotonic_ms()
+        if not ready or monotonic_ms() - polled_at_ms > MAX_POLL_UNCERTAINTY_MS:
+            for _ in range(MAX_CONFIRMING_POLLS):
+                polled_at_ms = monotonic_ms()
                 ready = self._selector.select(0.0)
                 if ready:
                     break
-        self.previous_look_ms = self._look_ms
-        self._look_ms = looked_at_ms
+        self.previous_poll_ms = self._last_poll_ms
+        self._last_poll_ms = polled_at_ms
+        self.poll_count += 1
+        self._start_turn()
+        return ready
+
+    def _start_turn(self) -> None:
+        """Read both clocks, and note by how much the wall clock was set since they were read last."""
         previous_offset_ms = self.turn_started_unix_ms - self.turn_started_ms
         self.turn_started_ms = monotonic_ms()
         self.turn_started_unix_ms = unix_ms()
         offset_ms = self.turn_started_unix_ms - self.turn_started_ms
         self.wall_clock_step_ms = offset_ms - previous_offset_ms
         self.clock.note_wall_clock(offset_ms)
-        self.look_count += 1
-        return ready
 
     def _wait_s(self, max_wait_s: float | None) -> float | None:
         if self._pending_events or self._to_flush:
@@ -144,8 +165,8 @@
             events = self._pending_events
             self._pending_events = []
             self.guard(self._decide, now_ms, events)
-        if self._to_flush and monotonic_ms() - self.turn_started_ms > MAX_LOOK_AGE_MS:
-            self._look_again()
+        if self._to_flush and monotonic_ms() - self.turn_started_ms > MAX_POLL_AGE_MS:
+            self._poll_again()
         to_flush = self._to_flush
         self._to_flush = {}
         for part in to_flush:
@@ -153,25 +174,25 @@
 
     def _call_ready(self, ready: list[tuple[selectors.SelectorKey, int]]) -> None:
         for key, mask in ready:
-            # An earlier callback of this turn may have closed the socket, whose number may be another one's
-            # by now, or may have changed what it is watched for.
+            # An earlier callback of this turn may have closed the socket, whose descriptor may belong to
+            # another one by now, or may have changed what it is watched for.
             current = self._selector.get_map().get(key.fd)
             if current is not None and current.fileobj is key.fileobj and mask & current.events:
                 self.guard(current.data, mask & current.events)
 
-    def _look_again(self) -> None:
-        """Read what has come during a long turn, then notify what is to be written of the delay.
+    def _poll_again(self) -> None:
+        """Read what has arrived during a long turn, then notify the parts with queued writes of the delay.
 
-        A cancellation among it takes back what has not been written.
+        A cancellation or a disconnect that is read here still takes back what was not written yet.
         """
-        self._call_ready(self._look(0.0))
+        self._call_ready(self._poll(0.0))
         for part in list(self._to_flush):
             self.guard(part.on_delayed)
 
     # --- exceptions ---------------------------------------------------------------------------
 
     def guard(self, callback: Callable[..., None], *arguments: object) -> None:
-        """Call a callback; an exception of it is logged and goes no further."""
+        """Call a callback; an exception that it raises is logged and goes no further."""
         try:
             callback(*arguments)
         except Exception:  # noqa: BLE001 - an error in one callback must not end all other connections
@@ -185,10 +206,10 @@
     # --- signals and the end ------------------------------------------------------------------
 
     def handle_signals(self, handlers: dict[int, Callable[[], None]]) -> None:
-        """Call a handler for each signal, by its number, in a turn of the loop like any other callback.
+        """Call the handlers of signals, which are given by signal number, in turns of the loop.
 
-        The signals write their numbers to a socket pair, which wakes the selector. A signal that was
-        blocked and came during start-up is handled in the first turn.
+        Python writes the number of each signal to a socket pair, which wakes the selector. A signal that
+        was blocked and arrived during start-up is handled in the first turn.
         """
         near, far = socket.socketpair()
         near.setblocking(False)
@@ -208,7 +229,7 @@
         self.register(near, READ, on_signals)
 
     def close(self) -> None:
-        """Release the selector and the signals' sockets. The owner of a registered socket closes it."""
+        """Close the selector and the sockets for signals; registered sockets are closed by their owners."""
         if self._wakeup_sockets:
             signal.set_wakeup_fd(-1)
             for sock in self._wakeup_sockets:
@@ -217,7 +238,7 @@
 
 
 def _read_signals(sock: socket.socket) -> bytes:
-    """The numbers of the signals that came; none where the read fails for a moment."""
+    """The numbers of the signals that arrived; none where the read fails for a moment."""
     try:
         return sock.recv(MAX_SIGNALS_PER_READ)
     except OSError as error:
--- a/function_router/net/timer_wheel.py
+++ b/function_router/net/timer_wheel.py
@@ -1,4 +1,7 @@
-"""A hashed timer wheel: timers of the event loop, as coarse ticks (Varghese, Lauck 1987)."""
+"""A hashed timer wheel, which keeps the event loop's timers in slots of coarse ticks.
+
+The mechanism is scheme 6 of Varghese and Lauck, "Hashed and Hierarchical Timing Wheels" (SOSP 1987).
+"""
 
 import math
 from collections.abc import Callable
@@ -6,38 +9,41 @@
 
 from function_router.net.clock import monotonic_ms
 
-TICK_MS = 4.0  # the resolution: a timer fires late by a tick at most
-SLOTS = 512  # the wheel goes round in two seconds; longer timers stay on it for several rounds
+# The resolution: a timer fires at most one tick late.
+TICK_MS = 4.0
+# The wheel turns round in about two seconds; timers with longer delays stay on it for several rounds.
+SLOTS = 512
 
 
 @dataclass(slots=True, eq=False)
 class Timer:
-    """A callback that is due at a tick; None once it has fired or was cancelled."""
+    """A callback that is due at a tick; the callback is None once the timer has fired or was cancelled."""
 
     due_tick: int
     callback: Callable[[], None] | None
 
     def cancel(self) -> None:
-        """Never call the callback. The timer stays in its slot until the wheel comes by."""
+        """Never call the callback. The timer stays in its slot until the wheel passes it."""
         self.callback = None
 
 
 def _ignore_exception(_where: str) -> None:
-    """Stands in until the owner of a wheel sets its `on_exception`."""
+    """The default until the owner of a wheel sets its `on_exception`."""
 
 
 class TimerWheel:
-    """Timers that fire never early, and late by a tick at most.
+    """Timers that never fire early, and at most one tick late.
 
-    `on_exception` is called with a description of the place while an exception of a callback is being
-    handled.
+    Attributes:
+        on_exception: called while an exception of a callback is being handled, with a description of where
+            it was raised.
     """
 
     def __init__(self, read_monotonic_ms: Callable[[], float] = monotonic_ms) -> None:
-        """An empty wheel that starts now."""
+        """Create an empty wheel that starts now."""
         self._read_monotonic_ms = read_monotonic_ms
         self._slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
-        self._tick = math.floor(read_monotonic_ms() / TICK_MS)  # the last one that has been seen to
+        self._tick = math.floor(read_monotonic_ms() / TICK_MS)  # the last one whose timers have fired
         self.on_exception: Callable[[str], None] = _ignore_exception
 
     def call_later(self, delay_ms: float, callback: Callable[[], None]) -> Timer:
@@ -48,9 +54,9 @@
         return timer
 
     def advance(self, at_ms: float | None = None) -> None:
-        """Call what is due, in the order of the ticks: as of now, or of a moment of the monotonic clock."""
-        moment_ms = self._read_monotonic_ms() if at_ms is None else at_ms
-        for timer in self._take_due(math.floor(moment_ms / TICK_MS)):
+        """Fire the timers that are due at a time on the monotonic clock, by default now, in their order."""
+        now_ms = self._read_monotonic_ms() if at_ms is None else at_ms
+        for timer in self._take_due(math.floor(now_ms / TICK_MS)):
             callback = timer.callback
             if callback is not None:
                 timer.callback = None
@@ -58,7 +64,7 @@
 
     def _take_due(self, now_tick: int) -> list[Timer]:
         """Take the timers that are due off the wheel, in the order of their ticks."""
-        first_tick = max(self._tick + 1, now_tick - SLOTS + 1)  # after a long pause, one round sees all
+        first_tick = max(self._tick + 1, now_tick - SLOTS + 1)  # one round visits every slot
         self._tick = max(self._tick, now_tick)
         due: list[Timer] = []
         for tick in range(first_tick, now_tick + 1):
@@ -71,7 +77,7 @@
     def _call(self, callback: Callable[[], None]) -> None:
         try:
             callback()
-        except Exception:  # noqa: BLE001 - the other timers fire all the same
+        except Exception:  # noqa: BLE001 - the other timers must fire all the same
             self.on_exception("a timer")
 
     def seconds_until_next(self) -> float | None:
--- a/function_router/net/transient_errors.py
+++ b/function_router/net/transient_errors.py
@@ -1,4 +1,4 @@
-"""Errors of system calls that pass by themselves, and how to wait for that at the start of the program."""
+"""Errors of system calls that may be gone in a moment, and retries after them during start-up."""
 
 import errno
 import time
@@ -7,15 +7,16 @@
 
 from function_router.config import UnreadableFileError
 
-# The system is short of something for a moment, or a signal came in between: accept(2), open(2), recv(2), ...
+# The system is short of a resource for a moment, or a signal interrupted the call: accept(2), open(2), ...
 TRANSIENT_ERRORS = frozenset(
     {errno.EAGAIN, errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 )
-# At the start also: a process before this one still holds the address, or the machine has not set it up yet;
+# During start-up, too: a previous process still holds the address, or the machine has not configured it yet;
 # epoll_ctl(2) finds too many watches.
 START_ERRORS = TRANSIENT_ERRORS | {errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENOSPC}
-# A router has 10 s to be ready; what fails for longer is reported.
+# A router has 10 s to become ready; an operation that fails for longer than this is reported.
 START_RETRY_S = 5.0
+# Between two tries of an operation.
 START_RETRY_INTERVAL_S = 0.02
 
 ResultT = TypeVar("ResultT")
@@ -31,11 +32,16 @@
     read_monotonic_s: Callable[[], float] = time.monotonic,
     sleep: Callable[[float], None] = time.sleep,
 ) -> ResultT:
-    """Call an operation of the start again while it fails for want of something that may come.
+    """Call an operation of the start-up, and again while it fails with one of START_ERRORS.
+
+    Args:
+        operation: the operation; its result is returned.
+        read_monotonic_s: reads the monotonic clock, in seconds.
+        sleep: waits for a time in seconds.
 
     Raises:
-        OSError: It failed for another reason, or for START_RETRY_S.
-        UnreadableFileError: So did the reading of a file.
+        OSError: where the operation failed with another error, or for START_RETRY_S.
+        UnreadableFileError: the same, where the operation reads a file.
     """
     give_up_at_s = read_monotonic_s() + START_RETRY_S
     while True:
--- a/tests/net/test_event_loop.py
+++ b/tests/net/test_event_loop.py
@@ -222,7 +222,7 @@
     def be_slow():
         loop.flush_later(part)
         loop.register(sock, READ, lambda _mask: flushes_at_read.append(part.flushes))
-        time.sleep(2 * event_loop.MAX_LOOK_AGE_MS / 1000)
+        time.sleep(2 * event_loop.MAX_POLL_AGE_MS / 1000)
 
     loop.timers.call_later(0.0, be_slow)
     time.sleep(0.01)
@@ -231,13 +231,13 @@
     assert (flushes_at_read, part.delays, part.flushes) == ([0], 1, 1)
 
 
-def test_wait_that_was_interrupted_until_its_time_was_over_is_followed_by_a_look(loop, readable_socket):
+def test_wait_that_was_interrupted_until_its_time_was_over_is_followed_by_a_poll(loop, readable_socket):
     called = []
     loop.register(readable_socket(), READ, called.append)
     select = loop._selector.select
 
     def interrupted(timeout):
-        """As after SIGCONT: EINTR, the time to wait is over, and nothing was looked at."""
+        """As after SIGCONT: EINTR, the time to wait is over, and no socket was examined."""
         return [] if timeout else select(timeout)
 
     with mock.patch.object(loop._selector, "select", interrupted):
@@ -246,13 +246,13 @@
     assert called == [READ]
 
 
-def test_look_counts_from_before_its_call_however_late_that_returns(loop):
+def test_poll_counts_from_before_its_call_however_late_that_returns(loop):
     select = loop._selector.select
-    looked_at_ms = []
+    polled_at_ms = []
 
     def stopped_on_return(timeout):
         """As where SIGSTOP comes while epoll_wait returns: what it found is old by the time it is seen."""
-        looked_at_ms.append(clock.monotonic_ms())
+        polled_at_ms.append(clock.monotonic_ms())
         ready = select(timeout)
         time.sleep(0.03)
         return ready
@@ -261,7 +261,7 @@
         loop.run_once(0.001)
     loop.run_once(0)
 
-    assert loop.previous_look_ms <= looked_at_ms[-1]
+    assert loop.previous_poll_ms <= polled_at_ms[-1]
 
 
 class FailingOnceSocket(socket.socket):
