--- a/function_router/net/request_table.py
+++ b/function_router/net/request_table.py
@@ -23,6 +23,7 @@
 from function_router.net.close_reason import outcome_of
 from function_router.net.event_loop import EventLoop
 from function_router.net.invariants import MAX_LATENESS_MS, Invariant
+from function_router.net.not_sent_reason import NotSentReason
 from function_router.net.pending_request import (
     ClientRequest,
     Failed,
@@ -31,7 +32,7 @@
     Rejected,
     Served,
 )
-from function_router.net.send_checks import NotSentReason, check_request
+from function_router.net.send_checks import check_request
 from function_router.net.start_orders import RevalidateStartOrder, StartOrderSender
 from function_router.net.telemetry import ANSWERS, Telemetry
 from function_router.net.timer_wheel import Timer
--- a/function_router/net/send_checks.py
+++ b/function_router/net/send_checks.py
@@ -1,40 +1,25 @@
 """The one place that says whether an exchange may send its first byte to a worker now, and if not, why.
 
-The decision module decides what is to be sent. What it decided may be overtaken before the first byte can
-leave: the exchange waits for a connection, or stands behind bytes that the worker does not read. So the rules
-that a worker's end counts are looked at again here, each time that a first byte could leave.
+The decision module decides what to send. Its decision may be out of date by the time that the first byte can
+leave: the exchange was queued for a connection, or behind bytes that the worker was slow to read. So the
+rules that count when a request or an order arrives at the worker are checked again here, each time that a
+first byte could leave.
 """
 
 from collections.abc import Iterable
-from enum import Enum, auto
-from typing import TYPE_CHECKING
 
 from function_router.decisions.settings import RequestClass
 from function_router.decisions.types import RetrySafety, WorkerState
+from function_router.net.not_sent_reason import NotSentReason
 from function_router.net.pending_request import PendingRequest
+from function_router.net.worker_messages import Attempt, Exchange
 
-if TYPE_CHECKING:
-    from function_router.net.worker_messages import Attempt, Exchange
-
-# A repeat must arrive inside the idempotency window, not just leave inside it.
+# A repeated attempt must arrive inside the idempotency window, not just leave inside it.
 IDEMPOTENCY_WINDOW_MARGIN_MS = 50.0
 
 
-class NotSentReason(Enum):
-    """Why an exchange may not start."""
-
-    WORKER_UNKNOWN = auto()  # the endpoint list has no such worker, or no longer
-    WORKER_REMOVED = auto()
-    WORKER_DRAINING = auto()  # it takes no new work
-    DEADLINE_PASSED = auto()  # no time is left for an answer
-    REQUEST_FINISHED = auto()  # its request has its final answer, or was cancelled
-    CLIENT_GONE = auto()  # its client has closed, which may not have been read yet
-    IDEMPOTENCY_WINDOW_PASSED = auto()  # workers may have forgotten the attempt before
-    START_ORDER_LIMIT_REACHED = auto()  # one more start order would exceed the ration
-
-
-def check_worker(exchange: "Exchange", state: WorkerState) -> NotSentReason | None:
-    """Why a worker in this state must not get the exchange; None where it may."""
+def check_worker(exchange: Exchange, state: WorkerState) -> NotSentReason | None:
+    """Why a worker in this state must not be sent the exchange; None if it may be."""
     if state is WorkerState.REMOVED:
         return NotSentReason.WORKER_REMOVED
     if state is WorkerState.DRAINING and exchange.is_new_work:
@@ -42,24 +27,24 @@
     return None
 
 
-def check_exchange(exchange: "Exchange", state: WorkerState) -> NotSentReason | None:
-    """Why an exchange must not send its first byte now to a worker in this state; None where it may."""
+def check_exchange(exchange: Exchange, state: WorkerState) -> NotSentReason | None:
+    """Why an exchange must not send its first byte now to a worker in this state; None if it may."""
     return check_worker(exchange, state) or exchange.reason_not_to_send()
 
 
 def check_request(
     request: PendingRequest,
     request_class: RequestClass | None,
-    attempts: Iterable["Attempt"],
+    attempts: Iterable[Attempt],
     now_ms: float,
 ) -> NotSentReason | None:
-    """Why no attempt of a pending request may start; None where one may.
+    """Why no attempt of a pending request may send its first byte; None if one may.
 
     Args:
-        request: the request.
-        request_class: its class.
-        attempts: its attempts in flight.
-        now_ms: the time on the monotonic clock.
+        request: The request.
+        request_class: Its class; None if the configuration has no such class.
+        attempts: Its attempts in flight.
+        now_ms: The time on the monotonic clock.
     """
     if not is_in_idempotency_window(request, request_class, attempts, now_ms):
         return NotSentReason.IDEMPOTENCY_WINDOW_PASSED
@@ -71,12 +56,12 @@
 def is_in_idempotency_window(
     request: PendingRequest,
     request_class: RequestClass | None,
-    attempts: Iterable["Attempt"],
+    attempts: Iterable[Attempt],
     now_ms: float,
 ) -> bool:
-    """Whether workers would still recognize a repeat of the first attempt that may have run.
+    """Whether workers would still recognize a repetition of the first attempt that may have run.
 
-    Always true of classes that need no idempotency key.
+    Always true for classes that need no idempotency key.
     """
     if request_class is None or request_class.retry_safety is not RetrySafety.IDEMPOTENCY_KEY:
         return True
--- a/function_router/net/start_orders.py
+++ b/function_router/net/start_orders.py
@@ -7,7 +7,7 @@
 from function_router.net.clock import monotonic_ms
 from function_router.net.close_reason import outcome_of
 from function_router.net.event_loop import EventLoop
-from function_router.net.send_checks import NotSentReason
+from function_router.net.not_sent_reason import NotSentReason
 from function_router.net.worker_messages import Answer, Result, StartOrder
 from function_router.net.worker_pool import WorkerPool
 
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -9,7 +9,8 @@
 from function_router.net.codecs import worker_frames as frames
 from function_router.net.connection import Connection, Unread
 from function_router.net.event_loop import EventLoop
-from function_router.net.send_checks import NotSentReason, check_exchange
+from function_router.net.not_sent_reason import NotSentReason
+from function_router.net.send_checks import check_exchange
 from function_router.net.telemetry import Telemetry
 from function_router.net.timer_wheel import Timer
 from function_router.net.worker_messages import Attempt, Exchange
--- a/function_router/net/worker_messages.py
+++ b/function_router/net/worker_messages.py
@@ -9,7 +9,7 @@
 from function_router.net.clock import monotonic_ms
 from function_router.net.close_reason import CloseReason
 from function_router.net.codecs import worker_frames as frames
-from function_router.net.send_checks import NotSentReason
+from function_router.net.not_sent_reason import NotSentReason
 from function_router.net.timer_wheel import Timer
 from function_router.net.write_queue import PendingWrite
 
--- a/function_router/net/worker_pool.py
+++ b/function_router/net/worker_pool.py
@@ -12,8 +12,9 @@
 from function_router.net.event_loop import EventLoop
 from function_router.net.idle_limit import IdleLimit
 from function_router.net.invariants import MAX_TIMEOUT_EXCESS_MS, Invariant
+from function_router.net.not_sent_reason import NotSentReason
 from function_router.net.pooled_worker import MAX_CONNECTIONS, PooledWorker
-from function_router.net.send_checks import NotSentReason, check_worker
+from function_router.net.send_checks import check_worker
 from function_router.net.telemetry import (
     CLOSED,
     CONNECTS,
