--- a/function_router/net/pooled_worker.py
+++ b/function_router/net/pooled_worker.py
@@ -1,11 +1,11 @@
 """A worker of the pool: its connections, what waits for one, and the choice among them."""
 
-from collections import deque
 from dataclasses import dataclass, field
 
 from function_router.config import Address
 from function_router.decisions.types import WorkerState
 from function_router.net.close_reason import CloseReason
+from function_router.net.exchange_queue import ExchangeQueue
 from function_router.net.timer_wheel import Timer
 from function_router.net.worker_connection import WorkerConnection
 from function_router.net.worker_messages import Exchange
@@ -25,7 +25,7 @@
     state: WorkerState
     started_at_ms: float
     connections: list[WorkerConnection] = field(default_factory=list)
-    waiting: deque[Exchange] = field(default_factory=deque)  # for a connection
+    queue: ExchangeQueue = field(default_factory=ExchangeQueue)
     connect_failing_since_ms: float | None = None  # connects fail on this machine since then
     reconnect_timer: Timer | None = None  # set while those that wait are to be tried for again
 
@@ -82,12 +82,6 @@
         """The exchanges on its connections of which it has got no byte."""
         return [exchange for connection in self.connections for exchange in connection.unwritten()]
 
-    def take_waiting(self) -> deque[Exchange]:
-        """Take out all exchanges that wait for a connection."""
-        waiting = self.waiting
-        self.waiting = deque()
-        return waiting
-
     def retire_connections(self) -> None:
         """Close the connections that are empty, and the others once they are."""
         for connection in list(self.connections):
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -9,7 +9,6 @@
 from function_router.net.codecs import worker_frames as frames
 from function_router.net.connection import Connection, Unread
 from function_router.net.event_loop import EventLoop
-from function_router.net.not_sent_reason import NotSentReason
 from function_router.net.send_checks import check_exchange
 from function_router.net.telemetry import Telemetry
 from function_router.net.timer_wheel import Timer
@@ -49,15 +48,9 @@
     def on_worker_closed(self, connection: "WorkerConnection", reason: CloseReason) -> None:
         """The connection is closed, or could not be established; its exchanges are still on it."""
 
-    def on_answer(self, exchange: Exchange, frame: frames.Frame) -> None:
-        """The worker answered an exchange, which is off the connection."""
-
     def on_started(self, exchange: Exchange, written_at_ms: float) -> None:
         """The first byte of an exchange was written, at this time of the monotonic clock."""
 
-    def finish_unsent(self, exchange: Exchange, not_sent_reason: NotSentReason) -> None:
-        """An exchange on the connection, of which nothing was written, may not start any more."""
-
 
 class WorkerConnection:
     """One connection to a worker, and the exchanges in flight on it; closed by its owner, the pool.
@@ -76,7 +69,7 @@
     __slots__ = (
         "_idle_before_use_ms",
         "_in_use_since_ms",
-        "_last_withdrawn_ms",
+        "_last_removed_ms",
         "_loop",
         "_max_exchanges",
         "_owner",
@@ -112,7 +105,7 @@
         self._partial_frame_timer: Timer | None = None
         self._in_use_since_ms = 0.0  # when it last went from idle to in use
         self._idle_before_use_ms = 0.0  # for how long it had been idle by then
-        self._last_withdrawn_ms = 0.0
+        self._last_removed_ms = 0.0
         connection = Connection.connect(loop, worker.address, self, wire.connect_timeout_ms)
         if isinstance(connection, CloseReason):
             raise ConnectError(worker, connection)
@@ -182,20 +175,24 @@
         self.exchanges[exchange.exchange_id] = exchange
         exchange.connection_wait_ms = monotonic_ms() - exchange.created_at_ms
         exchange.pending_write = self.connection.write(exchange.encode())
-        exchange.connection = self
+        exchange.holder = self
         self._unstarted.append(exchange)
 
-    def withdraw(self, exchange: Exchange) -> None:
-        """Take an exchange off it, and cancel an attempt that the worker may have got."""
+    def remove(self, exchange: Exchange) -> None:
+        """Take out an exchange without an answer, and cancel an attempt that the worker may have received."""
         self.exchanges.pop(exchange.exchange_id, None)
         pending_write = exchange.pending_write
         if pending_write is not None and self.connection.cancel_write(pending_write):
             return
-        self._last_withdrawn_ms = monotonic_ms()
+        self._last_removed_ms = monotonic_ms()
         if isinstance(exchange, Attempt):
             self.connection.write(frames.encode_cancel(exchange.exchange_id))
         self._forbid_id(exchange.exchange_id)
 
+    def on_exchange_finished(self) -> None:
+        """Close it if it was kept only for this exchange."""
+        self.close_if_retired_and_empty()
+
     def take_all_exchanges(self) -> list[Exchange]:
         """Take all exchanges off a closed connection, oldest first."""
         exchanges = list(self.exchanges.values())
@@ -228,7 +225,7 @@
         """Close it where it was idle for too long, or silent until its last exchange was withdrawn."""
         if not self.is_connected or self.exchanges:
             return
-        if self._last_withdrawn_ms - self._silent_since_ms() > UNRESPONSIVE_AFTER_MS:
+        if self._last_removed_ms - self._silent_since_ms() > UNRESPONSIVE_AFTER_MS:
             self.close(CloseReason.READ_TIMEOUT)
         elif self.idle_ms() > max_idle_ms:
             self.close(CloseReason.IDLE)
@@ -247,7 +244,7 @@
                 continue
             if frame.code != frames.OK:  # a retry may come here, which a duplicate of this must not end
                 self._forbid_id(frame.exchange_id)
-            self._owner.on_answer(exchange, frame)
+            exchange.finish(exchange.parse_answer(frame))
         if self._reader.error is not None:
             self._telemetry.log(f"worker {self.worker.worker_id}: invalid frame: {self._reader.error}")
             self.close(CloseReason.PROTOCOL_ERROR)
@@ -267,7 +264,7 @@
         """Refuse exchanges that may not start any more, and have the others state the time left now."""
         for exchange in self.unwritten():
             if not_sent_reason := check_exchange(exchange, self.worker.state):
-                self._owner.finish_unsent(exchange, not_sent_reason)
+                exchange.finish_unsent(not_sent_reason, self._telemetry)
             elif exchange.pending_write is not None:
                 self.connection.replace_write(exchange.pending_write, exchange.encode())
 
--- a/function_router/net/worker_pool.py
+++ b/function_router/net/worker_pool.py
@@ -8,7 +8,6 @@
 from function_router.decisions.types import WorkerState
 from function_router.net.clock import monotonic_ms
 from function_router.net.close_reason import CloseReason
-from function_router.net.codecs import worker_frames as frames
 from function_router.net.event_loop import EventLoop
 from function_router.net.idle_limit import IdleLimit
 from function_router.net.invariants import MAX_TIMEOUT_EXCESS_MS, Invariant
@@ -18,14 +17,13 @@
 from function_router.net.telemetry import (
     CLOSED,
     CONNECTS,
-    NOT_STARTED,
     PROBES,
     REQUESTS,
     START_ORDERS,
     Telemetry,
 )
 from function_router.net.worker_connection import ConnectError, WorkerConnection
-from function_router.net.worker_messages import Attempt, Exchange, Result, StartOrder
+from function_router.net.worker_messages import Attempt, Exchange, StartOrder
 
 # Of the most connections, those that spare ones may be among: the rest is kept for exchanges that find none.
 SPARE_CONNECTIONS_PART = 0.7
@@ -89,8 +87,8 @@
         worker.started_at_ms = max(started_at_ms, worker.started_at_ms)
         if state is not WorkerState.READY:
             self._return_unsent(worker)
-        if is_replaced and worker.waiting:  # for a connection to the process before
-            self._connect_for_waiting(worker)
+        if is_replaced and worker.queue:  # for a connection to the process before
+            self._connect_for_queued(worker)
         if state is WorkerState.REMOVED:
             worker.retire_connections()
             self._forget_if_unused(worker)
@@ -111,13 +109,12 @@
 
     def _return_unsent(self, worker: PooledWorker) -> None:
         """Finish what was not sent to a worker yet and may not be sent to it any more."""
-        for exchange in [*worker.waiting, *worker.unwritten_exchanges()]:
+        for exchange in [*worker.queue, *worker.unwritten_exchanges()]:
             if check_worker(exchange, worker.state):
-                self._withdraw(exchange)
-                self._finish(exchange, CloseReason.DRAINING)
+                exchange.abort(CloseReason.DRAINING)
 
     def _forget_if_unused(self, worker: PooledWorker) -> None:
-        if worker.state is WorkerState.REMOVED and not worker.connections and not worker.waiting:
+        if worker.state is WorkerState.REMOVED and not worker.connections and not worker.queue:
             self.workers.pop(worker.worker_id, None)
 
     # --- sending ------------------------------------------------------------------------------
@@ -126,10 +123,10 @@
         """Send an attempt; it finishes at its deadline at the latest."""
         left_ms = attempt.deadline_ms - monotonic_ms()
         if left_ms <= 0:
-            self.finish_unsent(attempt, NotSentReason.DEADLINE_PASSED)
+            attempt.finish_unsent(NotSentReason.DEADLINE_PASSED, self.telemetry)
             return
         self.telemetry.count(REQUESTS)
-        attempt.timer = self.loop.timers.call_later(left_ms, lambda: self._on_timeout(attempt))
+        attempt.timeout_timer = self.loop.timers.call_later(left_ms, attempt.time_out)
         self._dispatch(attempt)
 
     def ensure_instances(self, order: StartOrder) -> None:
@@ -137,7 +134,7 @@
         self.telemetry.count(START_ORDERS if order.instances else PROBES)
         order.exchange_id = next(self._order_ids).to_bytes(EXCHANGE_ID_BYTES, "big")
         timeout_ms = self.wire.start_order_timeout_ms
-        order.timer = self.loop.timers.call_later(timeout_ms, lambda: self._on_timeout(order))
+        order.timeout_timer = self.loop.timers.call_later(timeout_ms, order.time_out)
         self._dispatch(order)
 
     def _dispatch(self, exchange: Exchange) -> None:
@@ -146,17 +143,17 @@
             return
         worker = self.workers.get(exchange.worker_id)
         if worker is None:
-            self.finish_unsent(exchange, NotSentReason.WORKER_UNKNOWN)
+            exchange.finish_unsent(NotSentReason.WORKER_UNKNOWN, self.telemetry)
             return
         if not_sent_reason := check_worker(exchange, worker.state):
-            self.finish_unsent(exchange, not_sent_reason)
+            exchange.finish_unsent(not_sent_reason, self.telemetry)
             return
         connection = worker.choose_connection(exchange.exchange_id, self._idle_limit.limit_ms)
         if connection is None:
-            worker.waiting.append(exchange)
-            self._connect_for_waiting(worker)
+            worker.queue.append(exchange)
+            self._connect_for_queued(worker)
         elif not_sent_reason := exchange.reason_not_to_send():
-            self.finish_unsent(exchange, not_sent_reason)
+            exchange.finish_unsent(not_sent_reason, self.telemetry)
         else:
             self._start(exchange, connection)
 
@@ -175,12 +172,12 @@
 
     # --- connecting ---------------------------------------------------------------------------
 
-    def _connect_for_waiting(self, worker: PooledWorker) -> None:
+    def _connect_for_queued(self, worker: PooledWorker) -> None:
         """Open as many connections as the waiting exchanges need; they wait for a connect at the most."""
         if worker.reconnect_timer is not None:  # connects fail on this machine: not more often than that
             return
         max_exchanges = self.wire.max_exchanges_per_connection
-        while worker.connecting_count() * max_exchanges < len(worker.waiting):
+        while worker.connecting_count() * max_exchanges < len(worker.queue):
             try:
                 self._connect_within_limits(worker)
             except ConnectError as error:
@@ -195,7 +192,7 @@
         """Fail what waits, or try again a moment later where the failure tells nothing about the worker."""
         now_ms = monotonic_ms()
         if reason not in FAILED_ON_THIS_MACHINE:
-            self._fail_waiting(worker, reason)
+            self._fail_queued(worker, reason)
         elif worker.connect_failing_since_ms is None:
             worker.connect_failing_since_ms = now_ms
             self._connect_later(worker)
@@ -203,7 +200,7 @@
             self._connect_later(worker)
         else:
             worker.connect_failing_since_ms = None
-            self._fail_waiting(worker, reason)
+            self._fail_queued(worker, reason)
 
     def _connect_later(self, worker: PooledWorker) -> None:
         """Try again for what waits, with one timer however often this is asked for."""
@@ -215,7 +212,7 @@
     def _connect_again(self, worker: PooledWorker) -> None:
         """Dispatch what still waits: a connection may have become free, or another connect may succeed."""
         worker.reconnect_timer = None
-        for exchange in worker.take_waiting():
+        for exchange in worker.queue.take_all():
             self._dispatch(exchange)
 
     def _connect_within_limits(self, worker: PooledWorker) -> None:
@@ -248,9 +245,9 @@
         longest.close(CloseReason.IDLE)
         return True
 
-    def _fail_waiting(self, worker: PooledWorker, reason: CloseReason) -> None:
-        for exchange in worker.take_waiting():
-            self._finish(exchange, reason)
+    def _fail_queued(self, worker: PooledWorker, reason: CloseReason) -> None:
+        for exchange in worker.queue.take_all():
+            exchange.finish(reason)
 
     # --- from the connections -----------------------------------------------------------------
 
@@ -260,7 +257,7 @@
             connection.close(CloseReason.ENDPOINT_REPLACED)
             return
         connection.worker.connect_failing_since_ms = None
-        for exchange in connection.worker.take_waiting():
+        for exchange in connection.worker.queue.take_all():
             self._dispatch(exchange)
 
     def on_worker_closed(self, connection: WorkerConnection, reason: CloseReason) -> None:
@@ -273,10 +270,9 @@
             self._idle_limit.on_stale_connection(connection.idle_before_use_ms)
         for exchange in connection.take_all_exchanges():
             if exchange.is_started:
-                self._finish(exchange, reason)
+                exchange.finish(reason)
             else:
-                exchange.connection = None
-                exchange.pending_write = None
+                exchange.detach()
                 self._dispatch(exchange)
         if not connection.was_established and not worker.connecting_count():
             self._on_connect_failed(worker, reason)
@@ -296,57 +292,16 @@
         what = f"{exchange.exchange_id.hex()} at worker {exchange.worker_id}"
         self.telemetry.invariants.record(invariant, f"{what}: {detail}")
 
-    def on_answer(self, exchange: Exchange, frame: frames.Frame) -> None:
-        """Finish an exchange with the worker's answer."""
-        self._finish(exchange, exchange.parse_answer(frame))
-
     # --- finishing ----------------------------------------------------------------------------
 
     def cancel(self, exchange: Exchange) -> None:
         """Cancel an exchange, unless it is done; the worker is notified if it may have got an attempt."""
-        if not exchange.is_done:
-            self._withdraw(exchange)
-            self._finish(exchange, CloseReason.CANCELLED)
-
-    def finish_unsent(self, exchange: Exchange, not_sent_reason: NotSentReason) -> None:
-        """Finish an exchange that was not sent and may not be."""
-        if not exchange.is_done:
-            exchange.not_sent_reason = not_sent_reason
-            self.telemetry.count(NOT_STARTED, not_sent_reason.name)
-            self._withdraw(exchange)
-            self._finish(exchange, CloseReason.NOT_SENT)
+        exchange.abort(CloseReason.CANCELLED)
 
     def cancel_if_unsent(self, exchange: Exchange) -> None:
         """Cancel an exchange whose request is over, unless the worker may have got some of it."""
         if not exchange.is_started:
-            self.finish_unsent(exchange, NotSentReason.REQUEST_FINISHED)
-
-    def _on_timeout(self, exchange: Exchange) -> None:
-        is_started = exchange.is_started
-        self._withdraw(exchange)
-        self._finish(exchange, CloseReason.DEADLINE_EXCEEDED if is_started else CloseReason.NOT_SENT)
-
-    def _withdraw(self, exchange: Exchange) -> None:
-        """Take an exchange off its connection, or out of those that wait for one."""
-        if exchange.connection is not None:
-            exchange.connection.withdraw(exchange)
-            return
-        worker = self.workers.get(exchange.worker_id)
-        if worker is not None and exchange in worker.waiting:
-            worker.waiting.remove(exchange)
-
-    def _finish(self, exchange: Exchange, result: Result) -> None:
-        """Hand the result on, once; close the exchange's connection where it was only kept for that."""
-        if exchange.is_done:
-            return
-        exchange.is_done = True
-        if exchange.timer is not None:
-            exchange.timer.cancel()
-        connection = exchange.connection
-        exchange.connection = None
-        exchange.finish(result)
-        if connection is not None:
-            connection.close_if_retired_and_empty()
+            exchange.finish_unsent(NotSentReason.REQUEST_FINISHED, self.telemetry)
 
     # --- housekeeping -------------------------------------------------------------------------
 
--- a/tests/net/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -215,7 +215,7 @@
     late = attempt(worker.worker_id, [], exchange_id=b"abcdefgh", within_ms=5_000.0)
     with mock.patch.object(pooled_worker, "CONNECTIONS_BEFORE_SHARING", 1):
         harness.pool.send(late)
-    connection = late.connection.connection
+    connection = late.holder.connection
 
     connection._blocked = True  # the worker does not read for a while
     time.sleep(0.4)
