--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak test: real router processes on loopback under overlapping troubles, judged by invariants."""
+"""A soak test: real router processes on loopback under overlapping faults, judged by invariants."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -12,7 +12,7 @@
 import typer
 
 from soak.judge import Judge, Verdict
-from soak.plan import Plan, TroubleKind, draw_plan
+from soak.plan import FaultKind, Plan, draw_plan
 from soak.run import Run
 
 
@@ -26,12 +26,10 @@
 
 
 def _report(plan: Plan, verdict: Verdict, took_s: float) -> None:
-    kinds = sorted({trouble.kind for trouble in plan.troubles})
+    kinds = sorted({fault.kind for fault in plan.faults})
     figures = ", ".join(f"{name} {count}" for name, count in sorted(verdict.figures.items()) if count)
     outcome = "broken" if verdict.violations else "kept"
-    typer.echo(
-        f"seed {plan.seed}: {outcome} in {took_s:.0f} s; {', '.join(kinds) or 'no trouble'}; {figures}"
-    )
+    typer.echo(f"seed {plan.seed}: {outcome} in {took_s:.0f} s; {', '.join(kinds) or 'no faults'}; {figures}")
     for rule, count in verdict.violations.items():
         typer.echo(f"  {count} x {rule}")
         for example in verdict.examples[rule]:
@@ -46,15 +44,15 @@
     routers: Annotated[int, typer.Option(help="Router processes.")] = 16,
     workers: Annotated[int, typer.Option(help="Worker processes.")] = 12,
     rate: Annotated[float, typer.Option(help="Requests a second, of all clients together.")] = 250.0,
-    trouble: Annotated[
-        list[TroubleKind] | None, typer.Option(help="Only these kinds; without it, all of them.")
+    fault: Annotated[
+        list[FaultKind] | None, typer.Option(help="Only these kinds; without it, all of them.")
     ] = None,
-    no_trouble: Annotated[bool, typer.Option("--no-trouble", help="A calm run.")] = False,
+    no_faults: Annotated[bool, typer.Option("--no-faults", help="A calm run.")] = False,
     no_shim: Annotated[bool, typer.Option("--no-shim", help="Leave system calls and clocks alone.")] = False,
     keep: Annotated[Path | None, typer.Option(help="Keep records and logs in this folder.")] = None,
 ) -> None:
     """Play runs of real processes on loopback, judge each, and exit with 1 if any broke a rule."""
-    kinds = [] if no_trouble else (trouble or list(TroubleKind))
+    kinds = [] if no_faults else (fault or list(FaultKind))
     folder = keep or Path(tempfile.mkdtemp(prefix="soak-"))
     broken = 0
     for number in range(seed, seed + seeds):
--- a/soak/bad_clients.py
+++ b/soak/bad_clients.py
@@ -1,4 +1,4 @@
-"""Clients that do not keep to the protocol: each is owed a refusal, an error or a close within 3 s."""
+"""Clients that do not keep to the protocol: each is owed a rejection, an error or a close within 3 s."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 from function_router.net.codecs import thrift
 from soak import site
 from soak.records import BadClientSeen, Recorder
-from soak.thrift_client import encode_request, encode_withdraw
+from soak.thrift_client import encode_cancel, encode_request
 
 PATIENCE_S = 4.0
 GOOD_FIELDS = {
@@ -25,12 +25,12 @@
     return encode_request(seqid, fields, b"")
 
 
-def _messages(chance: random.Random) -> dict[str, bytes]:
+def _messages(rng: random.Random) -> dict[str, bytes]:
     """What each kind of bad client sends."""
     good = _request()
     return {
         "silent": b"",
-        "noise": chance.randbytes(300),
+        "noise": rng.randbytes(300),
         "http": b"GET / HTTP/1.1\r\n\r\n",
         "negative length": b"\xff\xff\xff\xf0" + good,
         "huge length": struct.pack(">I", 2**31 - 1) + good[4:],
@@ -41,13 +41,13 @@
         "time out of range": _request(ttl="99999999999"),
         "concurrency out of range": _request(props="lanes:999999"),
         "unknown method": thrift.encode_frame(thrift.CALL, b"nothing", 1, b"\0"),
-        "withdrawals": b"".join(encode_withdraw(number) for number in range(300)) + _request(op="nothing"),
+        "cancellations": b"".join(encode_cancel(number) for number in range(300)) + _request(op="nothing"),
     }
 
 
-async def run_bad_client(router: int, port: int, recorder: Recorder, chance: random.Random) -> None:
+async def run_bad_client(router: int, port: int, recorder: Recorder, rng: random.Random) -> None:
     """Connect, send, and record whether anything came back in time."""
-    kind, message = chance.choice(list(_messages(chance).items()))
+    kind, message = rng.choice(list(_messages(rng).items()))
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -21,8 +21,8 @@
     ClientAnswer,
     ConnectionEndedError,
     ThriftConnection,
+    encode_cancel,
     encode_request,
-    encode_withdraw,
 )
 from soak.worker import served_body
 
@@ -52,8 +52,8 @@
 
     def __init__(self, recorder: Recorder, function_count: int, seed: int) -> None:
         self._recorder = recorder
-        self._chance = random.Random(seed)
-        self._functions = [f"{self._chance.getrandbits(64):016x}" for _ in range(function_count)]
+        self._rng = random.Random(seed)
+        self._functions = [f"{self._rng.getrandbits(64):016x}" for _ in range(function_count)]
         self._weights = [1 / (rank + 1) for rank in range(function_count)]
         self._command = ClientsCommand([], 0.0)
         self._idle: dict[int, list[ThriftConnection]] = {}  # by port
@@ -68,21 +68,21 @@
         """Start requests at random times until cancelled."""
         while True:
             rate = self._command.requests_per_s
-            await asyncio.sleep(self._chance.expovariate(rate) if rate else 0.05)
+            await asyncio.sleep(self._rng.expovariate(rate) if rate else 0.05)
             routers = [router for router, port in enumerate(self._command.ports) if port]
             if rate and routers:
-                self._spawn(self._request(self._chance.choice(routers)))
+                self._spawn(self._request(self._rng.choice(routers)))
 
     async def misbehave(self) -> None:
         """Start bad clients at random times until cancelled."""
         while True:
             rate = self._command.bad_clients_per_s
-            await asyncio.sleep(self._chance.expovariate(rate) if rate else 0.05)
+            await asyncio.sleep(self._rng.expovariate(rate) if rate else 0.05)
             routers = [router for router, port in enumerate(self._command.ports) if port]
             if rate and routers:
-                router = self._chance.choice(routers)
+                router = self._rng.choice(routers)
                 port = self._command.ports[router]
-                self._spawn(run_bad_client(router, port, self._recorder, self._chance))
+                self._spawn(run_bad_client(router, port, self._recorder, self._rng))
 
     async def finish(self) -> None:
         """Wait for all open requests."""
@@ -99,15 +99,15 @@
 
     async def _request(self, router: int) -> None:
         """One request, which is sent again once where it crosses the close of its connection."""
-        class_name = self._chance.choices(list(site.CLASS_SHARES), list(site.CLASS_SHARES.values()))[0]
-        timeout_ms = int(site.GIVE_UP_MS * self._chance.uniform(MIN_TIMEOUT_SHARE, 1.0))
-        request_id = f"{self._chance.getrandbits(64):016x}"
+        class_name = self._rng.choices(list(site.CLASS_SHARES), list(site.CLASS_SHARES.values()))[0]
+        timeout_ms = int(site.GIVE_UP_MS * self._rng.uniform(MIN_TIMEOUT_SHARE, 1.0))
+        request_id = f"{self._rng.getrandbits(64):016x}"
         fields = {
             "op": class_name,
             "call": request_id,
             "ttl": str(timeout_ms),
-            "org": self._chance.choice(site.TENANTS),
-            "row": self._chance.choices(self._functions, self._weights)[0],
+            "org": self._rng.choice(site.TENANTS),
+            "row": self._rng.choices(self._functions, self._weights)[0],
             "props": f"memory_mb:128;lanes:{site.WORKER_CONCURRENCY}",
         }
         if class_name == "save":
@@ -128,8 +128,8 @@
     ) -> bool:
         """Send a request and wait; True where its connection closed just as it was sent."""
         port = self._command.ports[router]
-        is_new = is_repeat or self._chance.random() < NEW_CONNECTION_SHARE
-        closes_early = self._chance.random() < CLOSE_SHARE
+        is_new = is_repeat or self._rng.random() < NEW_CONNECTION_SHARE
+        closes_early = self._rng.random() < CLOSE_SHARE
         try:
             connection = await self._connection(port, is_new=is_new, is_private=closes_early)
         except OSError:
@@ -137,12 +137,12 @@
         seqid = connection.take_seqid()
         answer = connection.expect_answer(seqid)
         was_alone = len(connection.pending) == 1
-        body = self._chance.randbytes(self._chance.randrange(MAX_BODY_BYTES))
+        body = self._rng.randbytes(self._rng.randrange(MAX_BODY_BYTES))
         connection.send(encode_request(seqid, fields, body))
         sent_at = time.monotonic()
         self._recorder.add(RequestSent(request_id, router, class_name, sent_at, timeout_s))
         try:
-            if closes_early or self._chance.random() < CANCEL_SHARE:
+            if closes_early or self._rng.random() < CANCEL_SHARE:
                 await self._leave_early(connection, seqid, answer, request_id, timeout_s, closes=closes_early)
             else:
                 await self._await_answer(answer, request_id, timeout_s)
@@ -179,8 +179,8 @@
         *,
         closes: bool,
     ) -> None:
-        """Withdraw the request, or close its connection, after a part of its time."""
-        done, _ = await asyncio.wait([answer], timeout=timeout_s * self._chance.uniform(0.0, 0.5) ** 2)
+        """Cancel the request, or close its connection, after a part of its time."""
+        done, _ = await asyncio.wait([answer], timeout=timeout_s * self._rng.uniform(0.0, 0.5) ** 2)
         if done:
             await self._await_answer(answer, request_id, timeout_s)
         elif closes:
@@ -188,7 +188,7 @@
             connection.close()
             self._recorder.add(ClientGone(request_id, time.monotonic()))
         else:
-            connection.send(encode_withdraw(seqid))
+            connection.send(encode_cancel(seqid))
             self._recorder.add(ClientGone(request_id, time.monotonic()))
             await asyncio.wait([answer], timeout=PATIENCE_S)  # an answer that crossed it is no surplus
 
@@ -203,9 +203,9 @@
                 connection.close()
         usable = [each for each in connections if len(each.pending) < MAX_OPEN_REQUESTS]
         if usable and not (is_new or is_private):
-            return self._chance.choice(usable)
+            return self._rng.choice(usable)
         connection = await ThriftConnection.open(port)
-        if not is_private and (not is_new or self._chance.random() < KEPT_SHARE):
+        if not is_private and (not is_new or self._rng.random() < KEPT_SHARE):
             connections.append(connection)
         elif not is_private:
             self._held.append(connection)
--- a/soak/endpoint_log.py
+++ b/soak/endpoint_log.py
@@ -1,4 +1,4 @@
-"""The endpoint log of one router: numbered events over TCP, with the troubles that such a log may have."""
+"""The endpoint log of one router: numbered events over TCP, with the faults that such a log may have."""
 
 import asyncio
 import time
@@ -11,7 +11,7 @@
 
 HEARTBEAT_S = 1.0
 OLD_ADDRESS_S = 1.5  # after a move, open connections to the old address stay for so long
-READY_MARGIN_S = 4.0  # what a log in trouble would have published counts as notified after this
+READY_MARGIN_S = 4.0  # what an impaired log would have published counts as notified after this
 
 
 class EndpointLogServer:
@@ -19,7 +19,7 @@
 
     Attributes:
         port: where it listens now.
-        troubled_until: until when (monotonic seconds) an event may come late without the router's fault.
+        impaired_until: until when (monotonic seconds) an event may come late without the router's fault.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
     ) -> None:
         """Serve `events`, each as `translate` makes it for this router, at a port of the range."""
         self.port = 0
-        self.troubled_until = 0.0
+        self.impaired_until = 0.0
         self._events = events
         self._translate = translate
         self._ports = ports
@@ -51,7 +51,7 @@
 
     async def move(self) -> None:
         """Go on at another address; the old one sends nothing more and closes its connections later."""
-        self._mark_troubled(0.0)
+        self._mark_impaired(0.0)
         old_server, old_tasks = self._server, list(self._tasks)
         self.port = 0
         await self.start()
@@ -62,7 +62,7 @@
 
     async def be_silent(self, seconds: float) -> None:
         """Stay connected and send nothing."""
-        self._mark_troubled(seconds)
+        self._mark_impaired(seconds)
         self._is_silent = True
         await asyncio.sleep(seconds)
         self._is_silent = False
@@ -70,7 +70,7 @@
 
     async def be_broken(self, seconds: float) -> None:
         """End all connections, and refuse new ones for a while."""
-        self._mark_troubled(seconds)
+        self._mark_impaired(seconds)
         if self._server:
             self._server.close()
         for task in list(self._tasks):
@@ -86,9 +86,9 @@
             task.cancel()
         await asyncio.sleep(0)
 
-    def _mark_troubled(self, seconds: float) -> None:
+    def _mark_impaired(self, seconds: float) -> None:
         until = time.monotonic() + seconds + READY_MARGIN_S
-        self.troubled_until = max(self.troubled_until, until)
+        self.impaired_until = max(self.impaired_until, until)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 
 from soak import site
-from soak.processes import RouterLife
+from soak.processes import RouterIncarnation
 from soak.records import (
     AnswerSeen,
     AttemptSeen,
@@ -24,7 +24,7 @@
     RequestSent,
     read_records,
 )
-from soak.run import RunRecord, WorkerLife
+from soak.run import RunRecord, WorkerIncarnation
 
 MEASURING_SLACK_S = 0.05
 LATE_ANSWER_S = 0.5
@@ -33,11 +33,11 @@
 DRAIN_GRACE_S = 1.0 + 0.05
 READY_S = 10.0
 BAD_CLIENT_S = 3.0
-START_RATION_FACTOR = 1.15
-SMALL_BUDGET = 30.0  # below it, chance is allowed for more generously
+START_ORDER_TOLERANCE = 1.15
+SMALL_BUDGET = 30.0  # below it, sampling noise gets a wider margin
 NOTIFIED_PART = 2 / 3  # a slow-start rule is broken where more came from routers that had been notified
 NEVER_RAN_CODES = (2, 3, 5)  # of workers' answers
-FAULT_TEXTS = ("invariant violated", "unhandled exception", "Traceback")
+ERROR_TEXTS = ("invariant violated", "unhandled exception", "Traceback")
 MAX_EXAMPLES = 3  # of each rule in a report
 
 
@@ -52,11 +52,11 @@
     REJECTED_AFTER_RUN = "rejection of what may have run"
     DRAIN = "new work to a draining or removed worker"
     SLOW_START = "overload of a worker in slow start"
-    START_RATION = "more start orders than the ration"
+    START_ORDER_RATE = "more start orders than the rate limit allows"
     CRASH = "router that ended by itself"
     NOT_READY = "router that was not ready in time"
-    BAD_CLIENT = "bad client without refusal, error or close"
-    FAULT = "fault in a router's log"
+    BAD_CLIENT = "bad client without rejection, error or close"
+    ERROR_LOGGED = "error in a router's log"
 
 
 @dataclass
@@ -124,8 +124,8 @@
                 self._check_repeats(request_id, history)
         self._check_drains()
         self._check_slow_starts()
-        self._check_start_ration()
-        self._check_lives()
+        self._check_start_order_rate()
+        self._check_incarnations()
         self._check_bad_clients()
         self._check_logs()
         return self._verdict
@@ -140,9 +140,9 @@
                 else:
                     self._requests[item.request_id].add(item)
 
-    def _lives(self) -> Iterator[RouterLife]:
+    def _incarnations(self) -> Iterator[RouterIncarnation]:
         for router in self._record.routers:
-            yield from router.lives
+            yield from router.incarnations
 
     # --- answers ------------------------------------------------------------------------------------
 
@@ -181,11 +181,11 @@
     def _was_killed(self, sent: RequestSent) -> bool:
         """Whether its router was killed outright while it was pending, as planned."""
         return any(
-            life.router == sent.router
-            and life.killed_at is not None
-            and life.killed_at - 0.01 <= sent.at + sent.timeout_s
-            and (life.exited_at or math.inf) + 1.0 >= sent.at
-            for life in self._lives()
+            incarnation.router == sent.router
+            and incarnation.killed_at is not None
+            and incarnation.killed_at - 0.01 <= sent.at + sent.timeout_s
+            and (incarnation.exited_at or math.inf) + 1.0 >= sent.at
+            for incarnation in self._incarnations()
         )
 
     # --- attempts -----------------------------------------------------------------------------------
@@ -232,94 +232,104 @@
     # --- workers ------------------------------------------------------------------------------------
 
     def _new_work(self, worker: int) -> list[tuple[float, int]]:
-        """When new work began to arrive at a worker's place, and from which router, in order."""
+        """When new work began to arrive at a worker slot, and from which router, in order."""
         attempts = (each for history in self._requests.values() for each in history.attempts)
         work = [(each.began_at, each.router) for each in attempts if each.worker == worker]
         orders = (each for each in self._orders if each.worker == worker and each.instances)
         return sorted([*work, *((each.began_at, each.router) for each in orders)])
 
     def _check_drains(self) -> None:
-        lives = self._record.worker_lives
-        for life in lives:
-            if not life.drain_notified_at:
+        incarnations = self._record.worker_incarnations
+        for incarnation in incarnations:
+            if not incarnation.drain_notified_at:
                 continue
-            next_life = next(each for each in lives[lives.index(life) + 1 :] if each.worker == life.worker)
-            for at, router in self._new_work(life.worker):
-                notified_at = life.drain_notified_at[router]
-                may_know_next = next_life.started_at
+            next_incarnation = next(
+                each
+                for each in incarnations[incarnations.index(incarnation) + 1 :]
+                if each.worker == incarnation.worker
+            )
+            for at, router in self._new_work(incarnation.worker):
+                notified_at = incarnation.drain_notified_at[router]
+                may_know_next = next_incarnation.started_at
                 if notified_at + DRAIN_GRACE_S + MEASURING_SLACK_S < at < may_know_next:
-                    text = f"router {router} to {life.name}, {at - notified_at:.3f} s after it was notified"
+                    late_s = at - notified_at
+                    text = f"router {router} to {incarnation.name}, {late_s:.3f} s after it was notified"
                     self._verdict.add(Rule.DRAIN, text)
 
     def _check_slow_starts(self) -> None:
-        for life in self._record.worker_lives:
-            if life.is_cold:
-                self._check_slow_start(life)
+        for incarnation in self._record.worker_incarnations:
+            if incarnation.is_cold:
+                self._check_slow_start(incarnation)
 
-    def _check_slow_start(self, life: WorkerLife) -> None:
+    def _check_slow_start(self, incarnation: WorkerIncarnation) -> None:
         arrivals = [
             (each.at, each.router)
             for history in self._requests.values()
             for each in history.attempts
-            if each.worker == life.worker and 0.0 <= each.at - life.started_at < site.SLOW_START_S
+            if each.worker == incarnation.worker
+            and 0.0 <= each.at - incarnation.started_at < site.SLOW_START_S
         ]
         arrivals.sort()
         times = [at for at, _ in arrivals]
         for last, at in enumerate(times):
             first = bisect_right(times, at - site.OVERLOAD_WINDOW_S)
             window = arrivals[first : last + 1]
-            limit = slow_start_limit(at - life.started_at)
-            notified = sum(t > life.ready_notified_at.get(router, math.inf) for t, router in window)
+            limit = slow_start_limit(at - incarnation.started_at)
+            notified = sum(t > incarnation.ready_notified_at.get(router, math.inf) for t, router in window)
             if len(window) > limit and notified > NOTIFIED_PART * len(window):
-                text = f"{life.name}: {len(window)} in 1 s, {at - life.started_at:.2f} s after its start"
+                age_s = at - incarnation.started_at
+                text = f"{incarnation.name}: {len(window)} in 1 s, {age_s:.2f} s after its start"
                 self._verdict.add(Rule.SLOW_START, f"{text}, limit {limit:.1f}, {notified} notified")
                 return
 
-    def _check_start_ration(self) -> None:
+    def _check_start_order_rate(self) -> None:
         sent: dict[int, list[float]] = defaultdict(list)
         for history in self._requests.values():
             for request in history.sent:
                 sent[request.router].append(request.at)
-        for life in self._lives():
-            end = life.exited_at or math.inf
-            taken = sorted(at for at in sent[life.router] if life.started_at <= at <= end)
+        for incarnation in self._incarnations():
+            end = incarnation.exited_at or math.inf
+            taken = sorted(at for at in sent[incarnation.router] if incarnation.started_at <= at <= end)
             orders = sorted(
                 each.began_at
                 for each in self._orders
-                if each.router == life.router and each.instances and life.started_at <= each.began_at <= end
+                if each.router == incarnation.router
+                and each.instances
+                and incarnation.started_at <= each.began_at <= end
             )
             for last, at in enumerate(orders):
                 since = at - site.START_WINDOW_S
                 count = last + 1 - bisect_right(orders, since)
                 requests = bisect_right(taken, at) - bisect_left(taken, since)
-                ration = site.FREE_STARTS + site.STARTS_PER_REQUEST * requests
-                if count > START_RATION_FACTOR * ration + 1:
-                    text = f"router {life.router}: {count} orders, {requests} requests at {at:.3f}"
-                    self._verdict.add(Rule.START_RATION, text)
+                budget = site.FREE_STARTS + site.STARTS_PER_REQUEST * requests
+                if count > START_ORDER_TOLERANCE * budget + 1:
+                    text = f"router {incarnation.router}: {count} orders, {requests} requests at {at:.3f}"
+                    self._verdict.add(Rule.START_ORDER_RATE, text)
 
     # --- processes ----------------------------------------------------------------------------------
 
-    def _check_lives(self) -> None:
-        for life in self._lives():
-            self._verdict.figures["lives of routers"] += 1
-            self._verdict.figures["ended by SIGKILL after SIGTERM"] += life.overdue_at is not None
-            name = f"router {life.router}, life of {life.started_at:.1f}"
-            was_asked = life.term_at is not None or life.killed_at is not None
-            if life.exited_at is not None and (not was_asked or self._ended_badly(life)):
-                self._verdict.add(Rule.CRASH, f"{name}: exit code {life.exit_code}")
-            elif life.ready_at is None or life.ready_at - life.started_at > READY_S:
+    def _check_incarnations(self) -> None:
+        for incarnation in self._incarnations():
+            self._verdict.figures["incarnations of routers"] += 1
+            self._verdict.figures["ended by SIGKILL after SIGTERM"] += incarnation.overdue_at is not None
+            name = f"router {incarnation.router}, incarnation of {incarnation.started_at:.1f}"
+            was_asked = incarnation.term_at is not None or incarnation.killed_at is not None
+            if incarnation.exited_at is not None and (not was_asked or self._ended_badly(incarnation)):
+                self._verdict.add(Rule.CRASH, f"{name}: exit code {incarnation.exit_code}")
+            elif incarnation.ready_at is None or incarnation.ready_at - incarnation.started_at > READY_S:
                 self._verdict.add(Rule.NOT_READY, name)
 
     @staticmethod
-    def _ended_badly(life: RouterLife) -> bool:
-        return life.killed_at is None and life.overdue_at is None and life.exit_code != 0
+    def _ended_badly(incarnation: RouterIncarnation) -> bool:
+        return incarnation.killed_at is None and incarnation.overdue_at is None and incarnation.exit_code != 0
 
     def _check_bad_clients(self) -> None:
         for seen in self._bad_clients:
             self._verdict.figures["bad clients"] += 1
             is_late = seen.took_s > BAD_CLIENT_S + MEASURING_SLACK_S or not seen.is_settled
             if is_late and not any(
-                life.router == seen.router and life.killed_at is not None for life in self._lives()
+                incarnation.router == seen.router and incarnation.killed_at is not None
+                for incarnation in self._incarnations()
             ):
                 self._verdict.add(
                     Rule.BAD_CLIENT, f"{seen.kind} at router {seen.router}: {seen.took_s:.2f} s"
@@ -329,13 +339,13 @@
         for router in self._record.routers:
             path = self._record.folder / f"router-{router.router}.log"
             for line in path.read_text(errors="replace").splitlines() if path.exists() else ():
-                if any(text in line for text in FAULT_TEXTS):
-                    self._verdict.add(Rule.FAULT, line)
+                if any(text in line for text in ERROR_TEXTS):
+                    self._verdict.add(Rule.ERROR_LOGGED, line)
                 self._verdict.figures["slow turns"] += "slow turn" in line
 
 
 def slow_start_limit(age_s: float) -> float:
-    """How many requests a worker of this age may get within the overload window, chance included."""
+    """How many requests a worker of this age may get within the overload window, sampling noise included."""
     part = min(1.0, site.SLOW_START_INITIAL + (1 - site.SLOW_START_INITIAL) * age_s / site.SLOW_START_S)
     budget = site.OVERLOAD_MULTIPLE * part * site.WORKER_CAPACITY_RPS * site.OVERLOAD_WINDOW_S
     if budget < SMALL_BUDGET:
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens in a run: sizes, settings and troubles, all drawn from a seed."""
+"""What happens in a run: sizes, settings and faults, all drawn from a seed."""
 
 import random
 from enum import StrEnum
@@ -7,12 +7,12 @@
 
 WARM_UP_S = 3.0
 COOL_DOWN_S = 2.0
-MOMENT_S = 3.0  # between the moments at which troubles begin together
-MAX_TOGETHER = 3  # troubles that begin at one moment
+INJECTION_INTERVAL_S = 3.0  # between the times at which faults are injected together
+MAX_SIMULTANEOUS_FAULTS = 3  # that are injected together
 
 
-class TroubleKind(StrEnum):
-    """The troubles, each of which hits some routers, workers or all."""
+class FaultKind(StrEnum):
+    """The faults, each of which hits some routers, workers or all."""
 
     ROUTER_ROLL = "router-roll"
     ROUTER_KILL = "router-kill"
@@ -33,15 +33,15 @@
     BAD_CLIENTS = "bad-clients"
 
 
-class Trouble(Struct, frozen=True):
-    """One trouble: when it begins, in seconds from the start of the traffic, and whom it hits."""
+class Fault(Struct, frozen=True):
+    """One fault: when it begins, in seconds from the start of the traffic, and whom it hits."""
 
-    kind: TroubleKind
+    kind: FaultKind
     start_s: float
-    length_s: float
+    duration_s: float
     routers: list[int]
     workers: list[int]
-    size: float  # from 0 to 1
+    intensity: float  # from 0 to 1
 
 
 class Plan(Struct, frozen=True):
@@ -53,7 +53,7 @@
     duration_s: float
     requests_per_s: float
     function_count: int
-    troubles: list[Trouble]
+    faults: list[Fault]
 
 
 def draw_plan(
@@ -63,36 +63,36 @@
     worker_count: int,
     duration_s: float,
     requests_per_s: float,
-    kinds: list[TroubleKind],
+    kinds: list[FaultKind],
 ) -> Plan:
-    """Draw a run in which up to three troubles begin together every few seconds."""
-    chance = random.Random(seed)
-    troubles: list[Trouble] = []
-    moment_s = WARM_UP_S
-    while kinds and moment_s < duration_s - COOL_DOWN_S:
-        together = chance.randint(1, min(MAX_TOGETHER, len(kinds)))
-        for kind in chance.sample(kinds, together):
-            troubles.append(
-                Trouble(
+    """Draw a run in which up to three faults begin together every few seconds."""
+    rng = random.Random(seed)
+    faults: list[Fault] = []
+    injection_s = WARM_UP_S
+    while kinds and injection_s < duration_s - COOL_DOWN_S:
+        count = rng.randint(1, min(MAX_SIMULTANEOUS_FAULTS, len(kinds)))
+        for kind in rng.sample(kinds, count):
+            faults.append(
+                Fault(
                     kind=kind,
-                    start_s=moment_s + chance.uniform(0.0, 0.5),
-                    length_s=chance.uniform(1.0, MOMENT_S),
-                    routers=_some(chance, router_count),
-                    workers=_some(chance, worker_count, largest_part=0.34),
-                    size=chance.random(),
+                    start_s=injection_s + rng.uniform(0.0, 0.5),
+                    duration_s=rng.uniform(1.0, INJECTION_INTERVAL_S),
+                    routers=_draw_targets(rng, router_count),
+                    workers=_draw_targets(rng, worker_count, largest_part=0.34),
+                    intensity=rng.random(),
                 )
             )
-        moment_s += MOMENT_S
+        injection_s += INJECTION_INTERVAL_S
     return Plan(
         seed=seed,
         router_count=router_count,
         worker_count=worker_count,
         duration_s=duration_s,
         requests_per_s=requests_per_s,
-        function_count=chance.randint(8, 24),
-        troubles=sorted(troubles, key=lambda trouble: trouble.start_s),
+        function_count=rng.randint(8, 24),
+        faults=sorted(faults, key=lambda fault: fault.start_s),
     )
 
 
-def _some(chance: random.Random, count: int, largest_part: float = 0.5) -> list[int]:
-    return sorted(chance.sample(range(count), chance.randint(1, max(1, int(largest_part * count)))))
+def _draw_targets(rng: random.Random, count: int, largest_part: float = 0.5) -> list[int]:
+    return sorted(rng.sample(range(count), rng.randint(1, max(1, int(largest_part * count)))))
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -25,8 +25,8 @@
 
 
 @dataclass
-class RouterLife:
-    """One life of a router; times are monotonic seconds, None for what did not happen."""
+class RouterIncarnation:
+    """One incarnation of a router; times are monotonic seconds, None for what did not happen."""
 
     router: int
     started_at: float
@@ -88,7 +88,7 @@
 
 @dataclass
 class RouterProcessHandle:
-    """A router's place in the run: its configuration, its process, and its lives so far."""
+    """A router's slot in the run: its configuration, its process, and its incarnations so far."""
 
     router: int
     folder: Path
@@ -96,15 +96,15 @@
     config: dict[str, Any]
     shim: Path | None
     control: ShimControl = field(default_factory=ShimControl)
-    lives: list[RouterLife] = field(default_factory=list)
+    incarnations: list[RouterIncarnation] = field(default_factory=list)
     reads_log: bool = True
     process: asyncio.subprocess.Process | None = None
     _log_tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     @property
-    def life(self) -> RouterLife:
-        """Its present life."""
-        return self.lives[-1]
+    def incarnation(self) -> RouterIncarnation:
+        """Its present incarnation."""
+        return self.incarnations[-1]
 
     @property
     def control_path(self) -> Path:
@@ -123,13 +123,13 @@
         self.control.write(self.control_path)
 
     async def start(self) -> None:
-        """Start a life, and wait until it says that it is ready."""
+        """Start a incarnation, and wait until it says that it is ready."""
         self.write_config()
         self.write_control()
         environment = {**os.environ, "ROUTER_CONFIG": str(self.folder / f"router-{self.router}-config.json")}
         if self.shim:
             environment |= {"LD_PRELOAD": str(self.shim), CONTROL_VARIABLE: str(self.control_path)}
-        self.lives.append(RouterLife(self.router, time.monotonic()))
+        self.incarnations.append(RouterIncarnation(self.router, time.monotonic()))
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -159,7 +159,7 @@
         end = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < end and self.process and self.process.returncode is None:
             if await self._is_ready():
-                self.life.ready_at = time.monotonic()
+                self.incarnation.ready_at = time.monotonic()
                 return
             await asyncio.sleep(READY_POLL_S)
 
@@ -184,31 +184,31 @@
 
     async def kill(self) -> None:
         """Kill it outright."""
-        self.life.killed_at = time.monotonic()
+        self.incarnation.killed_at = time.monotonic()
         self.signal(signal.SIGKILL)
         await self._record_exit(READY_TIMEOUT_S)
 
     async def terminate(self) -> None:
         """SIGTERM, then SIGKILL once the longest deadline and some time more have passed."""
-        self.life.term_at = time.monotonic()
+        self.incarnation.term_at = time.monotonic()
         self.signal(signal.SIGTERM)
         kill_after_s = min(site.GIVE_UP_MS / 1000, MAX_KILL_TIMEOUT_S) + KILL_GRACE_S
         if not await self._record_exit(kill_after_s):
-            self.life.overdue_at = time.monotonic()
+            self.incarnation.overdue_at = time.monotonic()
             self.signal(signal.SIGKILL)
             await self._record_exit(READY_TIMEOUT_S)
 
     async def _record_exit(self, within_s: float) -> bool:
         assert self.process
         try:
-            self.life.exit_code = await asyncio.wait_for(self.process.wait(), within_s)
+            self.incarnation.exit_code = await asyncio.wait_for(self.process.wait(), within_s)
         except TimeoutError:
             return False
-        self.life.exited_at = time.monotonic()
+        self.incarnation.exited_at = time.monotonic()
         return True
 
     def note_unplanned_exit(self) -> None:
         """Record an exit that nobody asked for."""
-        if self.process and self.process.returncode is not None and self.life.exited_at is None:
-            self.life.exit_code = self.process.returncode
-            self.life.exited_at = time.monotonic()
+        if self.process and self.process.returncode is not None and self.incarnation.exited_at is None:
+            self.incarnation.exit_code = self.process.returncode
+            self.incarnation.exited_at = time.monotonic()
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy between all routers and workers: a tap for the judge, and a place for trouble.
+"""The proxy between all routers and workers: a tap for the judge, and where faults are injected.
 
 Each pair of a router and a worker has an address of its own, so that what arrives is known by its router.
 The first line on standard output has the ports, by router and worker; commands come as JSON lines on
@@ -30,7 +30,7 @@
 
     worker: int
     target_port: int | None  # None: connections are refused
-    spoiled_share: float = 0.0  # of the worker's answers
+    corrupted_share: float = 0.0  # of the worker's answers
     reset_connections: bool = False  # reset those that are open now
 
 
@@ -158,13 +158,13 @@
                             pair.router, pair.worker, frame.exchange_id.hex(), time.monotonic(), frame.code
                         )
                     )
-                writer.write(self._spoil(pair, data))
+                writer.write(self._corrupt(pair, data))
         except OSError:
             reset(writer)
 
-    def _spoil(self, pair: Pair, data: bytes) -> bytes:
+    def _corrupt(self, pair: Pair, data: bytes) -> bytes:
         """The same bytes, or what a share of them becomes: noise, a double, or a part."""
-        if random.random() >= self._commands[pair.worker].spoiled_share:
+        if random.random() >= self._commands[pair.worker].corrupted_share:
             return data
         return random.choice((random.randbytes(len(data)), data + data, data[: len(data) // 2]))
 
--- a/soak/records.py
+++ b/soak/records.py
@@ -28,7 +28,7 @@
 
 
 class ClientGone(Struct, tag=True, frozen=True):
-    """A client has withdrawn a request or closed its connection, so that no answer is owed."""
+    """A client has cancelled a request or closed its connection, so that no answer is owed."""
 
     request_id: str
     at: float
@@ -82,7 +82,7 @@
     kind: str
     at: float
     took_s: float
-    is_settled: bool  # it got a refusal, an error or a close
+    is_settled: bool  # it got a rejection, an error or a close
 
 
 Record = (
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: starts all processes, carries out the troubles of the plan, ends all, and collects the records."""
+"""One run: starts all processes, carries out the faults of the plan, ends all, and collects the records."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 from soak import site
 from soak.clients import ClientsCommand
 from soak.endpoint_log import EndpointLogServer
-from soak.plan import Plan, Trouble, TroubleKind
+from soak.plan import Fault, FaultKind, Plan
 from soak.ports import OTHER_PORTS, PortRange
 from soak.processes import ModuleProcess, RouterProcessHandle
 from soak.proxy import ProxyCommand
@@ -33,13 +33,13 @@
 BURST_FACTOR = 2.5
 BAD_CLIENTS_PER_S = 20.0
 
-RouterTrouble = Callable[[RouterProcessHandle, Trouble], Awaitable[None]]
-WorkerTrouble = Callable[[int, Trouble], Awaitable[None]]
+RouterFault = Callable[[RouterProcessHandle, Fault], Awaitable[None]]
+WorkerFault = Callable[[int, Fault], Awaitable[None]]
 
 
 @dataclass
-class WorkerLife:
-    """One process of a worker's place; times are monotonic seconds."""
+class WorkerIncarnation:
+    """One process of a worker slot; times are monotonic seconds."""
 
     worker: int
     name: str
@@ -58,17 +58,17 @@
 
     plan: Plan
     routers: list[RouterProcessHandle]
-    worker_lives: list[WorkerLife]
+    worker_incarnations: list[WorkerIncarnation]
     folder: Path
 
 
 class Run:
-    """The processes of one run, and the troubles that hit them."""
+    """The processes of one run, and the faults that hit them."""
 
     def __init__(self, plan: Plan, folder: Path, *, uses_shim: bool) -> None:
         self._plan = plan
         self._folder = folder
-        self._chance = random.Random(plan.seed + 1)
+        self._rng = random.Random(plan.seed + 1)
         self._shim = build(folder) if uses_shim else None
         self._ports = PortRange(OTHER_PORTS)
         self._events: list[dict[str, Any]] = []
@@ -77,24 +77,24 @@
             for number in range(plan.router_count)
         ]
         self._routers: list[RouterProcessHandle] = []
-        self._workers: list[WorkerLife] = []  # the present life of each place
-        self._worker_lives: list[WorkerLife] = []
+        self._workers: list[WorkerIncarnation] = []  # the present incarnation of each slot
+        self._worker_incarnations: list[WorkerIncarnation] = []
         self._proxy_ports: list[list[int]] = []
         self._clients_command = ClientsCommand([0] * plan.router_count, 0.0)
         self._proxy: ModuleProcess
         self._clients: ModuleProcess
-        self._troubled_workers: set[int] = set()
-        self._troubled_routers: set[int] = set()
+        self._faulted_workers: set[int] = set()
+        self._faulted_routers: set[int] = set()
 
     async def play(self) -> RunRecord:
         """Play the plan from start to end."""
         try:
             await self._start()
-            await self._play_troubles()
+            await self._play_faults()
             await self._end()
         finally:
             await self._kill_all()
-        return RunRecord(self._plan, self._routers, self._worker_lives, self._folder)
+        return RunRecord(self._plan, self._routers, self._worker_incarnations, self._folder)
 
     # --- start and end ----------------------------------------------------------------------------
 
@@ -104,9 +104,11 @@
         self._proxy = await ModuleProcess.start("soak.proxy", *counts, str(self._folder / "proxy.jsonl"))
         self._proxy_ports = msgspec.json.decode(await self._proxy.read_line())
         self._workers = [
-            await self._start_worker(place, f"s-{place}", is_cold=False) for place in range(plan.worker_count)
+            await self._start_worker(slot, f"s-{slot}", is_cold=False) for slot in range(plan.worker_count)
         ]
-        self._add_event([self._record(life, "in_service") for life in self._workers], is_complete=True)
+        self._add_event(
+            [self._record(incarnation, "in_service") for incarnation in self._workers], is_complete=True
+        )
         for log in self._logs:
             await log.start()
         self._routers = [self._make_router(number) for number in range(plan.router_count)]
@@ -114,7 +116,7 @@
         self._clients = await ModuleProcess.start(
             "soak.clients", str(plan.function_count), str(plan.seed), str(self._folder / "clients.jsonl")
         )
-        ports = [router.port if router.life.ready_at else 0 for router in self._routers]
+        ports = [router.port if router.incarnation.ready_at else 0 for router in self._routers]
         await self._command_clients(ports=ports, requests_per_s=plan.requests_per_s)
 
     def _make_router(self, number: int) -> RouterProcessHandle:
@@ -122,7 +124,7 @@
         config = {
             "name": f"n{number}",
             "listen": f"127.0.0.1:{port}",
-            "seed": f"{self._chance.getrandbits(64):016x}",
+            "seed": f"{self._rng.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
             "settings": site.settings(self._plan.router_count, self._plan.worker_count),
         }
@@ -147,7 +149,7 @@
         for router in self._routers:
             router.note_unplanned_exit()
         await asyncio.gather(
-            *(router.terminate() for router in self._routers if router.life.exited_at is None)
+            *(router.terminate() for router in self._routers if router.incarnation.exited_at is None)
         )
         await self._proxy.finish(FINISH_S)
 
@@ -158,10 +160,10 @@
             router.reads_log = True
             router.signal(signal.SIGKILL)
             children += [router.process] if router.process else []
-        for life in self._worker_lives:
-            if life.process:
-                life.process.kill()
-                children.append(life.process.process)
+        for incarnation in self._worker_incarnations:
+            if incarnation.process:
+                incarnation.process.kill()
+                children.append(incarnation.process.process)
         for name in ("_proxy", "_clients"):
             if process := getattr(self, name, None):
                 process.kill()
@@ -173,18 +175,23 @@
 
     # --- workers and their events -------------------------------------------------------------------
 
-    async def _start_worker(self, place: int, name: str, *, is_cold: bool) -> WorkerLife:
+    async def _start_worker(self, slot: int, name: str, *, is_cold: bool) -> WorkerIncarnation:
         process = await ModuleProcess.start("soak.worker")
         port = int(await process.read_line())
         now = time.monotonic()
-        life = WorkerLife(place, name, now, is_cold, process=process, port=port)
-        life.up_since_ms = time.time() * 1000 if is_cold else 0.0
-        self._worker_lives.append(life)
-        await self._proxy.command(ProxyCommand(place, port))
-        return life
+        incarnation = WorkerIncarnation(slot, name, now, is_cold, process=process, port=port)
+        incarnation.up_since_ms = time.time() * 1000 if is_cold else 0.0
+        self._worker_incarnations.append(incarnation)
+        await self._proxy.command(ProxyCommand(slot, port))
+        return incarnation
 
-    def _record(self, life: WorkerLife, phase: str) -> dict[str, Any]:
-        return {"id": life.name, "place": life.worker, "phase": phase, "up_since_ms": life.up_since_ms}
+    def _record(self, incarnation: WorkerIncarnation, phase: str) -> dict[str, Any]:
+        return {
+            "id": incarnation.name,
+            "place": incarnation.worker,
+            "phase": phase,
+            "up_since_ms": incarnation.up_since_ms,
+        }
 
     def _translate(self, event: dict[str, Any], *, router: int) -> dict[str, Any]:
         """The event as one router gets it: with the addresses that are its own."""
@@ -204,7 +211,7 @@
         now = time.monotonic()
         for log in self._logs:
             await log.publish()
-        return {number: max(now, log.troubled_until) for number, log in enumerate(self._logs)}
+        return {number: max(now, log.impaired_until) for number, log in enumerate(self._logs)}
 
     # --- clients ------------------------------------------------------------------------------------
 
@@ -218,87 +225,87 @@
         ports[router] = port
         await self._command_clients(ports=ports)
 
-    # --- troubles -----------------------------------------------------------------------------------
+    # --- faults -----------------------------------------------------------------------------------
 
-    async def _play_troubles(self) -> None:
+    async def _play_faults(self) -> None:
         started = time.monotonic()
         tasks: list[asyncio.Task[None]] = []
-        for trouble in self._plan.troubles:
-            await asyncio.sleep(max(0.0, started + trouble.start_s - time.monotonic()))
-            tasks.append(asyncio.create_task(self._play(trouble)))
+        for fault in self._plan.faults:
+            await asyncio.sleep(max(0.0, started + fault.start_s - time.monotonic()))
+            tasks.append(asyncio.create_task(self._play(fault)))
         await asyncio.sleep(max(0.0, started + self._plan.duration_s - time.monotonic()))
         await asyncio.gather(*tasks)
 
-    async def _play(self, trouble: Trouble) -> None:
-        """Play a trouble, but not on routers and workers that have one which excludes it."""
-        if trouble.kind in self._router_troubles():
-            await self._with_routers(trouble)
-        elif trouble.kind in self._worker_troubles():
-            await self._with_workers(trouble)
-        elif trouble.kind is TroubleKind.BURST:
-            await self._burst(trouble)
-        elif trouble.kind is TroubleKind.BAD_CLIENTS:
-            await self._bad_clients(trouble)
+    async def _play(self, fault: Fault) -> None:
+        """Play a fault, but not on routers and workers that have one which excludes it."""
+        if fault.kind in self._router_faults():
+            await self._with_routers(fault)
+        elif fault.kind in self._worker_faults():
+            await self._with_workers(fault)
+        elif fault.kind is FaultKind.BURST:
+            await self._burst(fault)
+        elif fault.kind is FaultKind.BAD_CLIENTS:
+            await self._bad_clients(fault)
         else:
-            play = self._shared_troubles()[trouble.kind]
-            await asyncio.gather(*(play(self._routers[number], trouble) for number in trouble.routers))
+            play = self._shared_faults()[fault.kind]
+            await asyncio.gather(*(play(self._routers[number], fault) for number in fault.routers))
 
-    def _router_troubles(self) -> dict[TroubleKind, RouterTrouble]:
+    def _router_faults(self) -> dict[FaultKind, RouterFault]:
         """Those that exclude each other on a router."""
         return {
-            TroubleKind.ROUTER_ROLL: self._roll_router,
-            TroubleKind.ROUTER_KILL: self._kill_router,
-            TroubleKind.ROUTER_PAUSE: self._pause,
-            TroubleKind.RELOAD: self._reload,
-            TroubleKind.LOG_READER_STALLS: self._stall_log,
-            TroubleKind.ENDPOINT_LOG_BREAKS: self._break_log,
+            FaultKind.ROUTER_ROLL: self._roll_router,
+            FaultKind.ROUTER_KILL: self._kill_router,
+            FaultKind.ROUTER_PAUSE: self._pause,
+            FaultKind.RELOAD: self._reload,
+            FaultKind.LOG_READER_STALLS: self._stall_log,
+            FaultKind.ENDPOINT_LOG_BREAKS: self._break_log,
         }
 
-    def _shared_troubles(self) -> dict[TroubleKind, RouterTrouble]:
+    def _shared_faults(self) -> dict[FaultKind, RouterFault]:
         """Those that may come on top of any other one of a router."""
         return {
-            TroubleKind.CLOCK_STEP: self._step_clock,
-            TroubleKind.CALLS_FAIL: self._fail_calls,
-            TroubleKind.ENDPOINT_LOG_SILENT: self._silence_log,
+            FaultKind.CLOCK_STEP: self._step_clock,
+            FaultKind.CALLS_FAIL: self._fail_calls,
+            FaultKind.ENDPOINT_LOG_SILENT: self._silence_log,
         }
 
-    def _worker_troubles(self) -> dict[TroubleKind, WorkerTrouble]:
+    def _worker_faults(self) -> dict[FaultKind, WorkerFault]:
         """Those that exclude each other on a worker."""
         return {
-            TroubleKind.WORKER_RESTART: self._restart_worker,
-            TroubleKind.WORKER_REPLACE: self._replace_worker,
-            TroubleKind.WORKER_HANG: self._hang_worker,
-            TroubleKind.CONNECTIONS_RESET: self._reset_connections,
-            TroubleKind.ANSWERS_SPOILED: self._spoil_answers,
-            TroubleKind.WORKER_REFUSES: self._refuse_connections,
+            FaultKind.WORKER_RESTART: self._restart_worker,
+            FaultKind.WORKER_REPLACE: self._replace_worker,
+            FaultKind.WORKER_HANG: self._hang_worker,
+            FaultKind.CONNECTIONS_RESET: self._reset_connections,
+            FaultKind.ANSWERS_SPOILED: self._corrupt_answers,
+            FaultKind.WORKER_REFUSES: self._refuse_connections,
         }
 
-    async def _with_routers(self, trouble: Trouble) -> None:
-        routers = [number for number in trouble.routers if number not in self._troubled_routers]
-        self._troubled_routers.update(routers)
-        play = self._router_troubles()[trouble.kind]
-        await asyncio.gather(*(play(self._routers[number], trouble) for number in routers))
-        self._troubled_routers.difference_update(routers)
-
-    async def _with_workers(self, trouble: Trouble) -> None:
-        workers = [place for place in trouble.workers if place not in self._troubled_workers]
-        self._troubled_workers.update(workers)
-        play = self._worker_troubles()[trouble.kind]
-        await asyncio.gather(*(play(place, trouble) for place in workers))
-        self._troubled_workers.difference_update(workers)
-
-    async def _burst(self, trouble: Trouble) -> None:
+    async def _with_routers(self, fault: Fault) -> None:
+        routers = [number for number in fault.routers if number not in self._faulted_routers]
+        self._faulted_routers.update(routers)
+        play = self._router_faults()[fault.kind]
+        await asyncio.gather(*(play(self._routers[number], fault) for number in routers))
+        self._faulted_routers.difference_update(routers)
+
+    async def _with_workers(self, fault: Fault) -> None:
+        workers = [slot for slot in fault.workers if slot not in self._faulted_workers]
+        self._faulted_workers.update(workers)
+        play = self._worker_faults()[fault.kind]
+        await asyncio.gather(*(play(slot, fault) for slot in workers))
+        self._faulted_workers.difference_update(workers)
+
+    async def _burst(self, fault: Fault) -> None:
         rate = self._plan.requests_per_s
         await self._command_clients(requests_per_s=rate * BURST_FACTOR)
-        await asyncio.sleep(trouble.length_s)
+        await asyncio.sleep(fault.duration_s)
         await self._command_clients(requests_per_s=rate)
 
-    async def _bad_clients(self, trouble: Trouble) -> None:
+    async def _bad_clients(self, fault: Fault) -> None:
         await self._command_clients(bad_clients_per_s=BAD_CLIENTS_PER_S)
-        await asyncio.sleep(trouble.length_s)
+        await asyncio.sleep(fault.duration_s)
         await self._command_clients(bad_clients_per_s=0.0)
 
-    async def _roll_router(self, router: RouterProcessHandle, _trouble: Trouble) -> None:
+    async def _roll_router(self, router: RouterProcessHandle, _fault: Fault) -> None:
         """SIGTERM; clients go on coming for a while; then a start from nothing."""
         ending = asyncio.create_task(router.terminate())
         await asyncio.sleep(LATE_CONNECTIONS_S)
@@ -306,7 +313,7 @@
         await ending
         await self._start_again(router)
 
-    async def _kill_router(self, router: RouterProcessHandle, _trouble: Trouble) -> None:
+    async def _kill_router(self, router: RouterProcessHandle, _fault: Fault) -> None:
         """SIGKILL; clients notice later."""
         killing = asyncio.create_task(router.kill())
         await asyncio.sleep(CLIENTS_NOTICE_S)
@@ -317,101 +324,101 @@
     async def _start_again(self, router: RouterProcessHandle) -> None:
         await asyncio.sleep(ROUTER_DOWN_S)
         await self._start_router(router)
-        if router.life.ready_at:
+        if router.incarnation.ready_at:
             await self._set_port(router.router, router.port)
 
-    async def _pause(self, router: RouterProcessHandle, trouble: Trouble) -> None:
-        end = time.monotonic() + trouble.length_s
+    async def _pause(self, router: RouterProcessHandle, fault: Fault) -> None:
+        end = time.monotonic() + fault.duration_s
         while time.monotonic() < end:
             router.signal(signal.SIGSTOP)
-            await asyncio.sleep(0.1 + 0.15 * trouble.size)
+            await asyncio.sleep(0.1 + 0.15 * fault.intensity)
             router.signal(signal.SIGCONT)
             await asyncio.sleep(0.4)
 
-    async def _reload(self, router: RouterProcessHandle, _trouble: Trouble) -> None:
+    async def _reload(self, router: RouterProcessHandle, _fault: Fault) -> None:
         log = self._logs[router.router]
         await log.move()
         router.config["changelog"] = f"127.0.0.1:{log.port}"
         router.write_config()
         router.signal(signal.SIGHUP)
 
-    async def _stall_log(self, router: RouterProcessHandle, trouble: Trouble) -> None:
+    async def _stall_log(self, router: RouterProcessHandle, fault: Fault) -> None:
         router.reads_log = False
-        await asyncio.sleep(trouble.length_s)
+        await asyncio.sleep(fault.duration_s)
         router.reads_log = True
 
-    async def _break_log(self, router: RouterProcessHandle, trouble: Trouble) -> None:
-        await self._logs[router.router].be_broken(trouble.length_s)
+    async def _break_log(self, router: RouterProcessHandle, fault: Fault) -> None:
+        await self._logs[router.router].be_broken(fault.duration_s)
 
-    async def _silence_log(self, router: RouterProcessHandle, trouble: Trouble) -> None:
-        await self._logs[router.router].be_silent(trouble.length_s)
+    async def _silence_log(self, router: RouterProcessHandle, fault: Fault) -> None:
+        await self._logs[router.router].be_silent(fault.duration_s)
 
-    async def _step_clock(self, router: RouterProcessHandle, trouble: Trouble) -> None:
+    async def _step_clock(self, router: RouterProcessHandle, fault: Fault) -> None:
         control = router.control
-        step_s = CLOCK_STEPS_S[int(trouble.size * len(CLOCK_STEPS_S))]
+        step_s = CLOCK_STEPS_S[int(fault.intensity * len(CLOCK_STEPS_S))]
         control.offset_before_s = control.offset_after_s
         control.step_at_unix_s = time.time()
         control.offset_after_s += step_s
         router.write_control()
 
-    async def _fail_calls(self, router: RouterProcessHandle, trouble: Trouble) -> None:
+    async def _fail_calls(self, router: RouterProcessHandle, fault: Fault) -> None:
         control = router.control
         for name, share in CALL_FAILURES.items():
-            setattr(control, name, share * trouble.size)
+            setattr(control, name, share * fault.intensity)
         router.write_control()
-        await asyncio.sleep(trouble.length_s)
+        await asyncio.sleep(fault.duration_s)
         for name in CALL_FAILURES:
             setattr(control, name, 0.0)
         router.write_control()
 
-    async def _restart_worker(self, place: int, _trouble: Trouble) -> None:
+    async def _restart_worker(self, slot: int, _fault: Fault) -> None:
         """Kill a worker and start it again under its name; the list says so a moment later."""
-        old = self._workers[place]
+        old = self._workers[slot]
         assert old.process
         old.process.kill()
-        await self._proxy.command(ProxyCommand(place, None))
-        await asyncio.sleep(self._chance.uniform(0.1, 0.8))
-        life = await self._start_worker(place, old.name, is_cold=True)
-        self._workers[place] = life
-        await asyncio.sleep(self._chance.uniform(0.0, 0.5))
-        life.ready_notified_at = await self._publish([self._record(life, "in_service")])
-
-    async def _replace_worker(self, place: int, _trouble: Trouble) -> None:
+        await self._proxy.command(ProxyCommand(slot, None))
+        await asyncio.sleep(self._rng.uniform(0.1, 0.8))
+        incarnation = await self._start_worker(slot, old.name, is_cold=True)
+        self._workers[slot] = incarnation
+        await asyncio.sleep(self._rng.uniform(0.0, 0.5))
+        incarnation.ready_notified_at = await self._publish([self._record(incarnation, "in_service")])
+
+    async def _replace_worker(self, slot: int, _fault: Fault) -> None:
         """Drain a worker, then put another one, under another name, at its address."""
-        old = self._workers[place]
+        old = self._workers[slot]
         assert old.process
         old.drain_notified_at = await self._publish([self._record(old, "terminating")])
         await asyncio.sleep(1.5)
         old.process.kill()
-        await self._proxy.command(ProxyCommand(place, None))
+        await self._proxy.command(ProxyCommand(slot, None))
         await self._publish([self._record(old, "terminated")])
-        life = await self._start_worker(place, f"{old.name}x", is_cold=True)
-        self._workers[place] = life
-        life.ready_notified_at = await self._publish([self._record(life, "in_service")])
-
-    async def _hang_worker(self, place: int, trouble: Trouble) -> None:
-        life = self._workers[place]
-        assert life.process
-        life.process.process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(trouble.length_s)
+        incarnation = await self._start_worker(slot, f"{old.name}x", is_cold=True)
+        self._workers[slot] = incarnation
+        incarnation.ready_notified_at = await self._publish([self._record(incarnation, "in_service")])
+
+    async def _hang_worker(self, slot: int, fault: Fault) -> None:
+        incarnation = self._workers[slot]
+        assert incarnation.process
+        incarnation.process.process.send_signal(signal.SIGSTOP)
+        await asyncio.sleep(fault.duration_s)
         with contextlib.suppress(ProcessLookupError):
-            life.process.process.send_signal(signal.SIGCONT)
+            incarnation.process.process.send_signal(signal.SIGCONT)
 
-    async def _reset_connections(self, place: int, _trouble: Trouble) -> None:
+    async def _reset_connections(self, slot: int, _fault: Fault) -> None:
         for _ in range(3):
-            await self._proxy.command(ProxyCommand(place, self._workers[place].port, reset_connections=True))
+            await self._proxy.command(ProxyCommand(slot, self._workers[slot].port, reset_connections=True))
             await asyncio.sleep(0.3)
 
-    async def _spoil_answers(self, place: int, trouble: Trouble) -> None:
-        port = self._workers[place].port
-        await self._proxy.command(ProxyCommand(place, port, spoiled_share=0.05 + 0.1 * trouble.size))
-        await asyncio.sleep(trouble.length_s)
-        await self._proxy.command(ProxyCommand(place, port))
+    async def _corrupt_answers(self, slot: int, fault: Fault) -> None:
+        port = self._workers[slot].port
+        await self._proxy.command(ProxyCommand(slot, port, corrupted_share=0.05 + 0.1 * fault.intensity))
+        await asyncio.sleep(fault.duration_s)
+        await self._proxy.command(ProxyCommand(slot, port))
 
-    async def _refuse_connections(self, place: int, trouble: Trouble) -> None:
-        await self._proxy.command(ProxyCommand(place, None))
-        await asyncio.sleep(trouble.length_s)
-        await self._proxy.command(ProxyCommand(place, self._workers[place].port))
+    async def _refuse_connections(self, slot: int, fault: Fault) -> None:
+        await self._proxy.command(ProxyCommand(slot, None))
+        await asyncio.sleep(fault.duration_s)
+        await self._proxy.command(ProxyCommand(slot, self._workers[slot].port))
 
 
 CALL_FAILURES = {
@@ -425,5 +432,5 @@
     "register_failures": 0.1,
     "open_failures": 0.5,
 }
-"""The shares of calls that fail at the largest size of the trouble; fields of `ShimControl`."""
+"""The shares of calls that fail at the largest size of the fault; fields of `ShimControl`."""
 assert set(CALL_FAILURES) <= set(ShimControl.__dataclass_fields__)
--- a/soak/thrift_client.py
+++ b/soak/thrift_client.py
@@ -8,7 +8,7 @@
 from function_router.net.codecs import thrift
 
 READ_BYTES = 65_536
-WITHDRAW = b"withdraw"
+WITHDRAW_METHOD = b"withdraw"
 ANSWER_KINDS = ("served", "throttled", "broken")  # by the number of the field that a reply has
 EXCEPTION_KIND = "exception"
 _SIZE = struct.Struct(">I")
@@ -40,10 +40,10 @@
     return thrift.encode_frame(thrift.CALL, b"handle", seqid, arguments)
 
 
-def encode_withdraw(seqid: int) -> bytes:
-    """The frame that withdraws a request."""
+def encode_cancel(seqid: int) -> bytes:
+    """The frame that cancels a request."""
     arguments = struct.pack(">bhi", thrift.I32, 1, seqid) + b"\0"
-    return thrift.encode_frame(thrift.ONEWAY, WITHDRAW, seqid, arguments)
+    return thrift.encode_frame(thrift.ONEWAY, WITHDRAW_METHOD, seqid, arguments)
 
 
 def encode_status(seqid: int) -> bytes:
--- a/tests/test_soak_judge.py
+++ b/tests/test_soak_judge.py
@@ -4,8 +4,8 @@
 
 from soak import site
 from soak.judge import Judge, Rule, slow_start_limit
-from soak.plan import TroubleKind, draw_plan
-from soak.processes import RouterLife, RouterProcessHandle
+from soak.plan import FaultKind, draw_plan
+from soak.processes import RouterIncarnation, RouterProcessHandle
 from soak.records import (
     AnswerSeen,
     AttemptSeen,
@@ -17,7 +17,7 @@
     RequestAnswered,
     RequestSent,
 )
-from soak.run import RunRecord, WorkerLife
+from soak.run import RunRecord, WorkerIncarnation
 
 ROUTER = 0
 WORKER = 0
@@ -35,7 +35,7 @@
 def judge(tmp_path):
     """Judge records of one router and one worker."""
 
-    def run(*records, life=None, worker_lives=(), log=""):
+    def run(*records, incarnation=None, worker_incarnations=(), log=""):
         recorder = Recorder(tmp_path / "clients.jsonl")
         for record in records:
             recorder.add(record)
@@ -43,11 +43,11 @@
         (tmp_path / "proxy.jsonl").touch()
         (tmp_path / "router-0.log").write_text(log)
         router = RouterProcessHandle(ROUTER, tmp_path, 1, {}, None)
-        router.lives = [life or RouterLife(ROUTER, 90.0, ready_at=91.0)]
+        router.incarnations = [incarnation or RouterIncarnation(ROUTER, 90.0, ready_at=91.0)]
         plan = draw_plan(
-            1, router_count=1, worker_count=1, duration_s=9.0, requests_per_s=1.0, kinds=list(TroubleKind)
+            1, router_count=1, worker_count=1, duration_s=9.0, requests_per_s=1.0, kinds=list(FaultKind)
         )
-        record = RunRecord(plan, [router], list(worker_lives), tmp_path)
+        record = RunRecord(plan, [router], list(worker_incarnations), tmp_path)
         return set(Judge(record).judge().violations)
 
     return run
@@ -78,7 +78,9 @@
             Rule.REJECTED_AFTER_RUN,
             id="rejected after run",
         ),
-        pytest.param([OrderSeen(ROUTER, WORKER, 100.0, 100.0, 1)] * 5, Rule.START_RATION, id="start orders"),
+        pytest.param(
+            [OrderSeen(ROUTER, WORKER, 100.0, 100.0, 1)] * 5, Rule.START_ORDER_RATE, id="start orders"
+        ),
         pytest.param([BadClientSeen(ROUTER, "noise", 100.0, 3.5, True)], Rule.BAD_CLIENT, id="bad client"),
     ],
 )
@@ -94,32 +96,37 @@
 
 
 def test_request_that_a_planned_kill_takes_is_excused(judge):
-    life = RouterLife(ROUTER, 90.0, ready_at=91.0, killed_at=101.0, exited_at=101.1, exit_code=-9)
+    incarnation = RouterIncarnation(
+        ROUTER, 90.0, ready_at=91.0, killed_at=101.0, exited_at=101.1, exit_code=-9
+    )
 
-    assert judge(SENT, life=life) == set()
+    assert judge(SENT, incarnation=incarnation) == set()
 
 
 @pytest.mark.parametrize(
-    ("life", "rule"),
+    ("incarnation", "rule"),
     [
-        (RouterLife(ROUTER, 90.0, ready_at=91.0, exited_at=95.0, exit_code=1), Rule.CRASH),
-        (RouterLife(ROUTER, 90.0, ready_at=91.0, term_at=94.0, exited_at=95.0, exit_code=1), Rule.CRASH),
-        (RouterLife(ROUTER, 90.0, ready_at=101.0), Rule.NOT_READY),
+        (RouterIncarnation(ROUTER, 90.0, ready_at=91.0, exited_at=95.0, exit_code=1), Rule.CRASH),
+        (
+            RouterIncarnation(ROUTER, 90.0, ready_at=91.0, term_at=94.0, exited_at=95.0, exit_code=1),
+            Rule.CRASH,
+        ),
+        (RouterIncarnation(ROUTER, 90.0, ready_at=101.0), Rule.NOT_READY),
     ],
 )
-def test_life_that_ends_or_begins_badly_is_found(judge, life, rule):
-    assert judge(life=life) == {rule}
+def test_life_that_ends_or_begins_badly_is_found(judge, incarnation, rule):
+    assert judge(incarnation=incarnation) == {rule}
 
 
 def test_new_work_to_a_draining_worker_is_found(judge):
-    old = WorkerLife(WORKER, "s-0", 90.0, False, drain_notified_at={ROUTER: 98.0})
-    new = WorkerLife(WORKER, "s-0x", 110.0, False)
+    old = WorkerIncarnation(WORKER, "s-0", 90.0, False, drain_notified_at={ROUTER: 98.0})
+    new = WorkerIncarnation(WORKER, "s-0x", 110.0, False)
 
-    assert judge(SENT, SERVED, attempt_at(100.1), worker_lives=[old, new]) == {Rule.DRAIN}
+    assert judge(SENT, SERVED, attempt_at(100.1), worker_incarnations=[old, new]) == {Rule.DRAIN}
 
 
 def test_overload_of_a_worker_in_slow_start_is_found(judge):
-    cold = WorkerLife(WORKER, "s-0", 100.0, True, ready_notified_at={ROUTER: 100.0})
+    cold = WorkerIncarnation(WORKER, "s-0", 100.0, True, ready_notified_at={ROUTER: 100.0})
     count = int(slow_start_limit(0.2)) + 2
     records = []
     for number in range(count):
@@ -128,18 +135,18 @@
         records.append(RequestAnswered(request_id, 100.5, "served"))
         records.append(AttemptSeen(ROUTER, WORKER, request_id, 100.2, 100.2, 1_500.0, "view"))
 
-    assert judge(*records, worker_lives=[cold]) == {Rule.SLOW_START}
+    assert judge(*records, worker_incarnations=[cold]) == {Rule.SLOW_START}
     assert slow_start_limit(site.SLOW_START_S) > slow_start_limit(0.0)
 
 
 def test_fault_in_a_log_is_found(judge):
-    assert judge(log="n0: unhandled exception in x\n") == {Rule.FAULT}
+    assert judge(log="n0: unhandled exception in x\n") == {Rule.ERROR_LOGGED}
 
 
 def test_same_seed_draws_the_same_plan():
     sizes = {"router_count": 9, "worker_count": 7, "duration_s": 60.0, "requests_per_s": 10.0}
 
-    plans = [draw_plan(seed, kinds=list(TroubleKind), **sizes) for seed in (5, 5, 6)]
+    plans = [draw_plan(seed, kinds=list(FaultKind), **sizes) for seed in (5, 5, 6)]
 
     assert plans[0] == plans[1] != plans[2]
-    assert len({trouble.kind for trouble in plans[0].troubles}) > 5
+    assert len({fault.kind for fault in plans[0].faults}) > 5
--- a/tests/test_soak_run.py
+++ b/tests/test_soak_run.py
@@ -10,8 +10,8 @@
 SMALL = ["--routers", "2", "--workers", "2", "--seconds", "3", "--rate", "40", "--no-shim"]
 
 
-def test_small_run_without_trouble_serves_and_keeps_all_rules(tmp_path):
-    command = [sys.executable, "-m", "soak", *SMALL, "--no-trouble", "--keep", str(tmp_path)]
+def test_small_run_without_faults_serves_and_keeps_all_rules(tmp_path):
+    command = [sys.executable, "-m", "soak", *SMALL, "--no-faults", "--keep", str(tmp_path)]
 
     run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False)
 
