--- /dev/null
+++ b/soak/endpoint_events.py
@@ -0,0 +1,57 @@
+"""Endpoint events of a run, and their translation to the JSON of the operator's endpoint log."""
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any
+
+ENDPOINT_SIZE = 1  # the relative capacity of a worker: all of them are alike
+
+
+class EndpointPhase(StrEnum):
+    """What an endpoint log says of a worker, by the word on the wire."""
+
+    READY = "in_service"
+    DRAINING = "terminating"
+    REMOVED = "terminated"
+
+
+@dataclass(frozen=True, slots=True)
+class Endpoint:
+    """A worker as an event publishes it.
+
+    Attributes:
+        name: identifies the worker; it survives a restart of its process.
+        slot: the worker slot, from which each router's address of the worker follows.
+        phase: whether it takes requests.
+        started_at_ms: Unix time at which it started; 0 for one that started long ago.
+    """
+
+    name: str
+    slot: int
+    phase: EndpointPhase
+    started_at_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointEvent:
+    """A change of endpoints, or with `is_complete` the list of all of them."""
+
+    sequence: int
+    endpoints: tuple[Endpoint, ...]
+    is_complete: bool
+
+    def to_wire(self, ports_by_slot: Sequence[int]) -> dict[str, Any]:
+        """The event as a line of the log has it, for the router that reaches the workers at these ports."""
+        members = [
+            {
+                "id": endpoint.name,
+                "place": endpoint.slot,
+                "phase": endpoint.phase.value,
+                "up_since_ms": endpoint.started_at_ms,
+                "host_port": f"127.0.0.1:{ports_by_slot[endpoint.slot]}",
+                "size": ENDPOINT_SIZE,
+            }
+            for endpoint in self.endpoints
+        ]
+        return {"seq": self.sequence, "fleet": {"complete": self.is_complete, "members": members}}
--- a/soak/endpoint_log.py
+++ b/soak/endpoint_log.py
@@ -2,11 +2,12 @@
 
 import asyncio
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Any
 
 import msgspec
 
+from soak.endpoint_events import EndpointEvent
 from soak.ports import PortRange, listen
 
 HEARTBEAT_S = 1.0
@@ -24,15 +25,15 @@
 
     def __init__(
         self,
-        events: list[dict[str, Any]],
-        translate: Callable[[dict[str, Any]], dict[str, Any]],
+        events: Sequence[EndpointEvent],
+        to_wire: Callable[[EndpointEvent], dict[str, Any]],
         ports: PortRange,
     ) -> None:
-        """Serve `events`, each as `translate` makes it for this router, at a port of the range."""
+        """Serve `events`, each as `to_wire` makes it for this router, at a port of the range."""
         self.port = 0
         self.impaired_until = 0.0
         self._events = events
-        self._translate = translate
+        self._to_wire = to_wire
         self._ports = ports
         self._is_silent = False
         self._server: asyncio.Server | None = None
@@ -112,10 +113,10 @@
             is_current = server is self._server and not self._is_silent
             if is_current:
                 for event in self._events:
-                    if event["seq"] > last_sent:
-                        writer.write(msgspec.json.encode(self._translate(event)) + b"\n")
-                        last_sent = event["seq"]
-                writer.write(b"%d\n" % self._events[-1]["seq"])
+                    if event.sequence > last_sent:
+                        writer.write(msgspec.json.encode(self._to_wire(event)) + b"\n")
+                        last_sent = event.sequence
+                writer.write(b"%d\n" % self._events[-1].sequence)
                 await writer.drain()
             async with self._published:
                 try:
--- a/soak/run.py
+++ b/soak/run.py
@@ -15,6 +15,7 @@
 
 from soak import site
 from soak.clients import ClientsCommand
+from soak.endpoint_events import Endpoint, EndpointEvent, EndpointPhase
 from soak.endpoint_log import EndpointLogServer
 from soak.plan import Fault, FaultKind, Plan
 from soak.ports import OTHER_PORTS, PortRange
@@ -71,9 +72,9 @@
         self._rng = random.Random(plan.seed + 1)
         self._shim = build(folder) if uses_shim else None
         self._ports = PortRange(OTHER_PORTS)
-        self._events: list[dict[str, Any]] = []
+        self._events: list[EndpointEvent] = []
         self._logs = [
-            EndpointLogServer(self._events, partial(self._translate, router=number), self._ports)
+            EndpointLogServer(self._events, partial(self._to_wire, router=number), self._ports)
             for number in range(plan.router_count)
         ]
         self._routers: list[RouterProcessHandle] = []
@@ -107,7 +108,8 @@
             await self._start_worker(slot, f"s-{slot}", is_cold=False) for slot in range(plan.worker_count)
         ]
         self._add_event(
-            [self._record(incarnation, "in_service") for incarnation in self._workers], is_complete=True
+            [self._endpoint(incarnation, EndpointPhase.READY) for incarnation in self._workers],
+            is_complete=True,
         )
         for log in self._logs:
             await log.start()
@@ -132,9 +134,9 @@
 
     async def _start_router(self, router: RouterProcessHandle) -> None:
         number = router.router
-        events = [self._translate(event, router=number) for event in self._events]
+        events = [self._to_wire(event, router=number) for event in self._events]
         router.config["changelog"] = f"127.0.0.1:{self._logs[number].port}"
-        router.config["known"] = {"seq": events[-1]["seq"], "results": events}
+        router.config["known"] = {"seq": self._events[-1].sequence, "results": events}
         if self._shim:  # whatever fails for a moment at the start must not end it
             router.control.socket_failures = router.control.open_failures = 0.3
         starting = asyncio.create_task(router.start())
@@ -185,29 +187,21 @@
         await self._proxy.command(ProxyCommand(slot, port))
         return incarnation
 
-    def _record(self, incarnation: WorkerIncarnation, phase: str) -> dict[str, Any]:
-        return {
-            "id": incarnation.name,
-            "place": incarnation.worker,
-            "phase": phase,
-            "up_since_ms": incarnation.up_since_ms,
-        }
+    @staticmethod
+    def _endpoint(incarnation: WorkerIncarnation, phase: EndpointPhase) -> Endpoint:
+        return Endpoint(incarnation.name, incarnation.worker, phase, incarnation.up_since_ms)
 
-    def _translate(self, event: dict[str, Any], *, router: int) -> dict[str, Any]:
+    def _to_wire(self, event: EndpointEvent, *, router: int) -> dict[str, Any]:
         """The event as one router gets it: with the addresses that are its own."""
-        members = [
-            {**member, "host_port": f"127.0.0.1:{self._proxy_ports[router][member['place']]}", "size": 1}
-            for member in event["fleet"]["members"]
-        ]
-        return {"seq": event["seq"], "fleet": {**event["fleet"], "members": members}}
+        return event.to_wire(self._proxy_ports[router])
 
-    def _add_event(self, members: list[dict[str, Any]], *, is_complete: bool = False) -> None:
+    def _add_event(self, endpoints: list[Endpoint], *, is_complete: bool = False) -> None:
         sequence = len(self._events) + 1
-        self._events.append({"seq": sequence, "fleet": {"complete": is_complete, "members": members}})
+        self._events.append(EndpointEvent(sequence, tuple(endpoints), is_complete=is_complete))
 
-    async def _publish(self, members: list[dict[str, Any]]) -> dict[int, float]:
+    async def _publish(self, endpoints: list[Endpoint]) -> dict[int, float]:
         """Publish an event; by router, from when on it counts as notified."""
-        self._add_event(members)
+        self._add_event(endpoints)
         now = time.monotonic()
         for log in self._logs:
             await log.publish()
@@ -381,20 +375,22 @@
         incarnation = await self._start_worker(slot, old.name, is_cold=True)
         self._workers[slot] = incarnation
         await asyncio.sleep(self._rng.uniform(0.0, 0.5))
-        incarnation.ready_notified_at = await self._publish([self._record(incarnation, "in_service")])
+        ready = self._endpoint(incarnation, EndpointPhase.READY)
+        incarnation.ready_notified_at = await self._publish([ready])
 
     async def _replace_worker(self, slot: int, _fault: Fault) -> None:
         """Drain a worker, then put another one, under another name, at its address."""
         old = self._workers[slot]
         assert old.process
-        old.drain_notified_at = await self._publish([self._record(old, "terminating")])
+        old.drain_notified_at = await self._publish([self._endpoint(old, EndpointPhase.DRAINING)])
         await asyncio.sleep(1.5)
         old.process.kill()
         await self._proxy.command(ProxyCommand(slot, None))
-        await self._publish([self._record(old, "terminated")])
+        await self._publish([self._endpoint(old, EndpointPhase.REMOVED)])
         incarnation = await self._start_worker(slot, f"{old.name}x", is_cold=True)
         self._workers[slot] = incarnation
-        incarnation.ready_notified_at = await self._publish([self._record(incarnation, "in_service")])
+        ready = self._endpoint(incarnation, EndpointPhase.READY)
+        incarnation.ready_notified_at = await self._publish([ready])
 
     async def _hang_worker(self, slot: int, fault: Fault) -> None:
         incarnation = self._workers[slot]
