--- a/tests/net/test_exchange_queue.py
+++ b/tests/net/test_exchange_queue.py
@@ -1,7 +1,7 @@
 """Tests of `exchange_queue`."""
 
 import pytest
-from helpers.process_harness import start_order
+from helpers.exchanges import start_order
 
 from function_router.net.close_reason import CloseReason
 from function_router.net.exchange_queue import ExchangeQueue
--- a/tests/net/test_send_checks.py
+++ b/tests/net/test_send_checks.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers.process_harness import attempt, start_order
+from helpers.exchanges import attempt, start_order
 
 from function_router.decisions.settings import RequestClass
 from function_router.decisions.types import RetrySafety, WorkerState
--- a/tests/net/test_worker_messages.py
+++ b/tests/net/test_worker_messages.py
@@ -3,7 +3,7 @@
 from unittest import mock
 
 import pytest
-from helpers.process_harness import attempt, start_order
+from helpers.exchanges import attempt, start_order
 
 from function_router.decisions.types import Outcome, StartKind
 from function_router.net.close_reason import CloseReason
