--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,6 +8,7 @@
 import socket
 
 import pytest
+from helpers.fake_worker import FakeWorker
 from helpers.known_red import UnknownTestsError, read_known_red
 from helpers.process_harness import ProcessHarness
 from helpers.program_launcher import ProgramLauncher
@@ -55,6 +56,26 @@
     return start
 
 
+@pytest.fixture
+def worker(cleanups):
+    """A worker that answers start orders and probes by itself, and leaves requests to the test."""
+    fake_worker = FakeWorker()
+    cleanups.callback(fake_worker.close)
+    return fake_worker
+
+
+@pytest.fixture
+def harness(start_router, worker):
+    """A router in this thread whose endpoint list has the one worker."""
+    return start_router(worker)
+
+
+@pytest.fixture
+def client(harness):
+    """A client that the router has accepted, and that has one answer: to a status request."""
+    return harness.connect_accepted_client()
+
+
 @pytest.fixture
 def unreachable_address(cleanups):
     """Make addresses at which no connection is established: those of listeners whose queue is full."""
--- a/tests/helpers/process_harness.py
+++ b/tests/helpers/process_harness.py
@@ -104,6 +104,12 @@
         self.clients.append(client)
         return client
 
+    def connect_accepted_client(self):
+        """A new client that the router has accepted: it has the answer to a status request."""
+        client = self.connect_client()
+        self.round_trip(client)
+        return client
+
     # --- what happens -----------------------------------------------------------------------------
 
     def run_until(self, condition, description="it happens"):
--- a/tests/net/test_router_process.py
+++ b/tests/net/test_router_process.py
@@ -16,30 +16,6 @@
 from function_router.net.event_loop import READ
 
 
-@pytest.fixture
-def worker():
-    """The one worker of the router; closed with it."""
-    return FakeWorker()
-
-
-@pytest.fixture
-def harness(start_router, worker):
-    """A router that knows the worker."""
-    return start_router(worker)
-
-
-@pytest.fixture
-def client(harness):
-    """A client that has made a round trip."""
-    return connected_client(harness)
-
-
-def connected_client(harness):
-    client = harness.connect_client()
-    harness.round_trip(client)
-    return client
-
-
 def drain_past_late_arrivals(harness):
     """Drain the router, and make the check that follows the time for late arrivals."""
     harness.router_process.drain()
@@ -152,7 +128,7 @@
     other = FakeWorker("s-2", instances=None)
     moved = FakeEndpointLog()
     harness = start_router(worker, other)
-    client = connected_client(harness)
+    client = harness.connect_accepted_client()
     config = harness.router_process.config
     harness.router_process._reread = lambda: msgspec.structs.replace(config, endpoint_log=moved.address)
     harness.add_listener(moved)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -13,20 +13,11 @@
 import pytest
 from helpers.configuration import endpoint_event
 from helpers.fake_client import FakeClient
-from helpers.fake_worker import FakeWorker
 
 ROOT = Path(__file__).parent.parent
 EXIT_TIMEOUT_S = 20
 
 
-@pytest.fixture
-def worker(cleanups):
-    """A worker that answers start orders by itself and leaves requests to the test."""
-    fake_worker = FakeWorker()
-    cleanups.callback(fake_worker.close)
-    return fake_worker
-
-
 @pytest.fixture
 def connect(cleanups):
     """Connect clients to an address; closed at the end."""
