--- /dev/null
+++ b/function_router/decisions/answers.py
@@ -0,0 +1,47 @@
+"""Answers: closing requests, with a final answer of the router's own where no worker gave one."""
+
+from function_router.decisions.actions import CancelAttempt, FailRequest, RejectRequest
+from function_router.decisions.outbox import Outbox
+from function_router.decisions.records import Request
+from function_router.decisions.requests import OpenRequests
+from function_router.decisions.retry_policy import RetryPolicy
+from function_router.decisions.settings import Settings
+
+
+class Answers:
+    """Closes requests. This is the only place that answers them without a worker."""
+
+    def __init__(
+        self, settings: Settings, requests: OpenRequests, retry_policy: RetryPolicy, outbox: Outbox
+    ) -> None:
+        self._can_cancel = settings.can_cancel
+        self._max_retry_after_ms = settings.max_retry_after_ms
+        self._requests = requests
+        self._retry_policy = retry_policy
+        self._outbox = outbox
+
+    def finish(self, request: Request) -> None:
+        """Close a request with a final answer: a rejection if a client's retry is harmless, else a failure.
+
+        A client whose request was never sent, or is over quota, is advised to wait: there will hardly be room
+        for it soon.
+        """
+        self.close(request)
+        if not self._retry_policy.is_client_retry_safe(request):
+            self._outbox.add(FailRequest(request.id))
+            return
+        has_room_soon = request.attempts and not request.over_quota
+        retry_after_ms = 0.0 if has_room_soon else self._max_retry_after_ms
+        self._outbox.add(RejectRequest(request.id, retry_after_ms))
+
+    def close(self, request: Request) -> None:
+        """Close a request that needs no further answer, and cancel its attempts in flight."""
+        del self._requests.by_id[request.id]
+        queue = request.function.queue
+        if request in queue:
+            queue.remove(request)
+        if not self._can_cancel:
+            return
+        for number, attempt in enumerate(request.attempts):
+            if attempt.in_flight:
+                self._outbox.add(CancelAttempt(request.id, number))
--- /dev/null
+++ b/function_router/decisions/dispatch.py
@@ -0,0 +1,148 @@
+"""Dispatch: the queues of functions, and the one place that sends requests."""
+
+from function_router.decisions.actions import SendRequest
+from function_router.decisions.admission import Admission
+from function_router.decisions.fleet import Fleet
+from function_router.decisions.outbox import Outbox
+from function_router.decisions.records import Attempt, Function, Request, Worker
+from function_router.decisions.requests import OpenRequests
+from function_router.decisions.retry_policy import RetryPolicy
+from function_router.decisions.scaling import Scaling
+
+# A worker with fewer own attempts in flight counts as unloaded: its run times are free of queueing there.
+LOADED_AT_IN_FLIGHT = 2
+
+
+class Dispatcher:
+    """Owns the queues: sends requests to free slots, and has instances started for those left in a queue."""
+
+    def __init__(
+        self,
+        fleet: Fleet,
+        requests: OpenRequests,
+        admission: Admission,
+        retry_policy: RetryPolicy,
+        scaling: Scaling,
+        outbox: Outbox,
+    ) -> None:
+        self._health = fleet.health
+        self._placement = fleet.placement
+        self._requests = requests
+        self._admission = admission
+        self._retry_policy = retry_policy
+        self._scaling = scaling
+        self._outbox = outbox
+        self._waiting: dict[str, Function] = {}  # functions with queued requests, by name
+
+    def has_waiting(self) -> bool:
+        """Whether a function may have queued requests."""
+        return bool(self._waiting)
+
+    def enqueue(self, request: Request, now_ms: float) -> None:
+        """Queue a request; it is sent once its function is dispatched."""
+        function = request.function
+        request.queued_ms = now_ms
+        function.queue.append(request)
+        self._waiting[function.name] = function
+
+    def dispatch(self, function: Function, now_ms: float) -> None:
+        """Serve the queue of a function, and start instances for what is left in it."""
+        self._serve_queue(function, now_ms)
+        self._waiting.pop(function.name, None)
+        if function.queue:
+            self._waiting[function.name] = function
+            self._scaling.race(function, now_ms)
+
+    def dispatch_all(self, now_ms: float) -> None:
+        """Dispatch all functions with queued requests, the most urgent request first."""
+        self._dispatch_by_urgency([function for function in self._waiting.values() if function.queue], now_ms)
+
+    def dispatch_for(self, worker: Worker, now_ms: float) -> None:
+        """Dispatch the functions that may have instances at a worker, as it has just become free for more."""
+        waiting = self._waiting.values()
+        queued = [function for function in waiting if function.queue and worker.id in function.pools]
+        self._dispatch_by_urgency(queued, now_ms)
+
+    def _dispatch_by_urgency(self, functions: list[Function], now_ms: float) -> None:
+        def urgency(function: Function) -> tuple[bool, bool, float, str]:
+            return min(self._admission.urgency(request, now_ms) for request in function.queue)
+
+        for function in sorted(functions, key=urgency):
+            self.dispatch(function, now_ms)
+
+    def send_at_once(self, request: Request, now_ms: float) -> None:
+        """Send another attempt if a slot is free now, but neither queue the request nor start an instance."""
+        queue = request.function.queue
+        queue.append(request)
+        self._serve_queue(request.function, now_ms)
+        if request in queue:
+            queue.remove(request)
+
+    def _serve_queue(self, function: Function, now_ms: float) -> None:
+        """Send queued requests to free slots, the most urgent first.
+
+        Once a request finds no slot, the ones behind it won't either, unless it is a retry: those are
+        confined to some of the workers.
+        """
+        queue = function.queue
+        if len(queue) > 1:
+            queue.sort(key=lambda request: self._admission.urgency(request, now_ms))
+        for request in list(queue):
+            worker = self._find_worker(function, request, now_ms)
+            if worker is not None:
+                self._send(request, worker, now_ms)
+            elif request.first_run() is None:
+                break
+
+    def _find_worker(self, function: Function, request: Request, now_ms: float) -> Worker | None:
+        """The first candidate below its load bound that may take a request; else the least loaded one."""
+        limit_fraction = self._admission.limit_fraction(request, now_ms)
+        # A hedge may use the whole limit on attempts in flight: its budget limits it already.
+        in_flight_fraction = 1.0 if request.has_attempt_in_flight() else limit_fraction
+        if self._admission.is_at_limit(in_flight_fraction):
+            return None
+        if self._scaling.must_wait_for_probe(function, now_ms):
+            return None
+        beyond_bound = []
+        for worker in self._placement.candidates(function, request, now_ms):
+            if not self._scaling.has_free_slot(request, worker, now_ms):
+                continue
+            if not self._may_send_to(request, worker, limit_fraction, now_ms):
+                continue
+            if self._placement.is_below_load_bound(worker, len(self._requests.attempts), now_ms):
+                return worker
+            beyond_bound.append(worker)
+        return min(beyond_bound, key=lambda worker: worker.in_flight, default=None)
+
+    def _may_send_to(self, request: Request, worker: Worker, limit_fraction: float, now_ms: float) -> bool:
+        if not self._health.is_usable(worker, request.request_class.name, now_ms):
+            return False
+        if not self._placement.has_capacity(worker, now_ms, fraction=limit_fraction):
+            return False
+        return self._retry_policy.allows_worker(request, worker, now_ms)
+
+    def _send(self, request: Request, worker: Worker, now_ms: float) -> None:
+        """Send a request to a worker. This is the only place that does."""
+        function = request.function
+        preferred = function.hash_order[: function.fanout]
+        attempt = Attempt(
+            request.id,
+            worker,
+            function,
+            request.request_class.name,
+            now_ms,
+            is_unloaded=worker.in_flight < LOADED_AT_IN_FLIGHT,
+            candidate_count=max(1, sum(other.id in function.pools for other in preferred)),
+        )
+        pool = function.pool_at(worker)
+        self._requests.add_attempt(request, attempt)
+        function.queue.remove(request)
+        if now_ms > request.queued_ms:
+            function.queue_waits.add(now_ms, now_ms - request.queued_ms)
+        self._placement.record_send(worker, now_ms)
+        self._health.expect_reply(worker, now_ms)
+        self._health.breakers.record_send(worker, attempt.class_name, now_ms)
+        if pool.unused_since_ms is not None and pool.in_flight > pool.slots_before:
+            function.idle_before_use_ms = now_ms - pool.unused_since_ms
+            pool.unused_since_ms = None
+        self._outbox.add(SendRequest(request.id, worker.id))
--- /dev/null
+++ b/function_router/decisions/feedback.py
@@ -0,0 +1,93 @@
+"""Feedback: what the router learns from the ends of attempts and from reports of instances."""
+
+from function_router.decisions.events import AttemptEnded, InstancesReported
+from function_router.decisions.fleet import Fleet
+from function_router.decisions.health import PING_INTERVAL_MS, SLOW_RUN_FACTOR
+from function_router.decisions.records import Attempt, Function, Worker
+from function_router.decisions.types import Outcome, StartKind
+
+# Weight of one answer in the estimate of how many requests of a function all routers have in flight.
+IN_FLIGHT_GAIN = 0.4
+
+# A full queue counts like a run that takes this many times the usual.
+FULL_QUEUE_SLOWDOWN = 2 * SLOW_RUN_FACTOR
+
+# Outcomes that show that the worker has replied, for an attempt and for a start order or probe.
+REPLIES = (Outcome.OK, Outcome.ERROR, Outcome.QUEUE_FULL, Outcome.NOT_LOADED)
+REPORT_REPLIES = (Outcome.OK, Outcome.ERROR, Outcome.QUEUE_FULL)
+
+
+class Feedback:
+    """Updates durations, health and instances by what workers answer."""
+
+    def __init__(self, fleet: Fleet) -> None:
+        self._durations = fleet.durations
+        self._health = fleet.health
+        self._instances = fleet.instances
+
+    def record_attempt(self, event: AttemptEnded, attempt: Attempt, now_ms: float) -> bool:
+        """Learn from the end of an attempt.
+
+        Returns:
+            Whether its worker has just become unresponsive.
+        """
+        outcome = event.outcome
+        became_unresponsive = False
+        if outcome in REPLIES:
+            self._health.record_reply(attempt.worker, now_ms)
+        if outcome is Outcome.OK:
+            self._record_served(event, attempt, now_ms)
+        elif outcome is Outcome.NOT_LOADED or event.start_kind is StartKind.START_FAILED:
+            attempt.function.pools[attempt.worker.id].count = 0
+        elif outcome is Outcome.ERROR and attempt.function.run_times:
+            # A function that has never been served may itself be the cause of the error.
+            self._health.breakers.record_failure(attempt.worker, attempt.class_name, now_ms)
+        elif outcome is Outcome.QUEUE_FULL:
+            self._record_full_queue(attempt, now_ms)
+        else:
+            became_unresponsive = self._health.record_no_reply(attempt.worker, outcome, now_ms)
+        if outcome in (Outcome.OK, Outcome.QUEUE_FULL) and event.in_flight is not None:
+            self._record_in_flight(attempt, event.in_flight)
+        return became_unresponsive
+
+    def _record_served(self, event: AttemptEnded, attempt: Attempt, now_ms: float) -> None:
+        function = attempt.function
+        run_ms = event.duration_ms
+        self._instances.record_served(event, attempt, now_ms)
+        if event.start_kind in (StartKind.UNKNOWN, StartKind.WARM):
+            self._durations.record_run(function, run_ms, now_ms, is_unloaded=attempt.is_unloaded)
+            median_ms = self._durations.median_run_ms(function, now_ms)
+            self._health.record_slowdown(attempt.worker, run_ms / median_ms, now_ms)
+        self._health.breakers.record_success(attempt)
+
+    def _record_full_queue(self, attempt: Attempt, now_ms: float) -> None:
+        """Keep the function's requests from the worker for about a run, so that its queue can drain."""
+        pool = attempt.function.pools[attempt.worker.id]
+        pool.blocked_until_ms = now_ms + self._durations.median_run_ms(attempt.function, now_ms)
+        self._health.record_slowdown(attempt.worker, FULL_QUEUE_SLOWDOWN, now_ms)
+
+    def _record_in_flight(self, attempt: Attempt, in_flight: int) -> None:
+        """Estimate a function's requests in flight at all workers from the number at one of them."""
+        function = attempt.function
+        at_all_workers = in_flight * attempt.candidate_count
+        function.estimated_in_flight += IN_FLIGHT_GAIN * (at_all_workers - function.estimated_in_flight)
+
+    def record_report(
+        self, event: InstancesReported, function: Function, worker: Worker, now_ms: float
+    ) -> bool:
+        """Learn from the end of a start order or a probe.
+
+        An unresponsive worker that comes back without its instances must have restarted, although no
+        notification of that has come yet.
+
+        Returns:
+            Whether the worker has just become unresponsive.
+        """
+        if event.outcome not in REPORT_REPLIES:
+            return self._health.record_no_reply(worker, event.outcome, now_ms)
+        pool = function.pool_at(worker)
+        if worker.unresponsive_since_ms is not None and pool.count and not event.instances:
+            worker.started_ms = now_ms
+        self._health.record_reply(worker, now_ms, silent_for_ms=PING_INTERVAL_MS)
+        self._instances.record_report(event, pool, function.concurrency, now_ms)
+        return False
--- /dev/null
+++ b/function_router/decisions/fleet.py
@@ -0,0 +1,49 @@
+"""The fleet: what the router knows about workers, functions and instances, without any open requests."""
+
+from function_router.decisions.arrivals import Arrivals
+from function_router.decisions.capacity import Capacity
+from function_router.decisions.durations import Durations
+from function_router.decisions.events import EndpointsChanged
+from function_router.decisions.functions import FunctionTable
+from function_router.decisions.health import Health
+from function_router.decisions.instances import Instances
+from function_router.decisions.outbox import Outbox
+from function_router.decisions.placement import Placement
+from function_router.decisions.settings import Settings
+from function_router.decisions.slow_start import SlowStart
+from function_router.decisions.workers import WorkerTable
+
+
+class Fleet:
+    """Owns the lower layers of the decisions, on which those that act on requests are built."""
+
+    def __init__(self, settings: Settings, seed: int, outbox: Outbox) -> None:
+        self.workers = WorkerTable(settings)
+        self.functions = FunctionTable()
+        self.arrivals = Arrivals(settings)
+        self.durations = Durations(settings.shortest_objective_ms)
+        self.slow_start = SlowStart(settings, self.workers, self.arrivals, seed)
+        self.capacity = Capacity(settings, self.workers, self.slow_start, self.durations)
+        self.health = Health(settings, self.workers, self.durations, self.capacity, outbox)
+        self.instances = Instances(settings, self.capacity)
+        self.placement = Placement(
+            self.workers,
+            self.arrivals,
+            self.durations,
+            self.slow_start,
+            self.capacity,
+            self.health,
+            self.instances,
+        )
+
+    def update_endpoints(self, event: EndpointsChanged) -> None:
+        """Apply the endpoint list, or what has changed in it."""
+        self.workers.update(event)
+        self.health.recount_unresponsive()
+
+    def forget_unused(self, now_ms: float) -> None:
+        """Drop idle functions, and workers that were removed long ago."""
+        self.functions.forget_idle(self.workers.by_id.values(), now_ms)
+        for worker in self.workers.forget_removed(now_ms):
+            self.functions.forget_worker(worker)
+            self.health.forget_worker(worker)
--- /dev/null
+++ b/function_router/decisions/functions.py
@@ -0,0 +1,67 @@
+"""The table of functions."""
+
+from collections.abc import Iterable
+
+from function_router.decisions.events import RequestArrived
+from function_router.decisions.records import Function, Worker
+from function_router.hashing import hash64
+
+# Bounds memory: when this many functions are kept, the half with the oldest last requests is dropped.
+MAX_FUNCTIONS = 2_000
+
+# A function is dropped after this long without a request.
+IDLE_FUNCTION_TTL_MS = 60_000.0
+
+
+class FunctionTable:
+    """Owns the function records, with their pools."""
+
+    def __init__(self) -> None:
+        self.by_name: dict[str, Function] = {}
+
+    def is_full(self) -> bool:
+        """Whether no further function may be added before others are dropped."""
+        return len(self.by_name) >= MAX_FUNCTIONS
+
+    def get_or_add(self, event: RequestArrived) -> Function:
+        """The function of a request, updated by what the request says about it."""
+        function = self.by_name.get(event.function)
+        if function is None:
+            function = Function(
+                event.function, event.class_name, event.concurrency, None, hash64(event.function)
+            )
+            self.by_name[function.name] = function
+        function.class_name = event.class_name
+        function.concurrency = max(1, event.concurrency)
+        function.hinted_start_ms = event.expected_start_ms or function.hinted_start_ms
+        return function
+
+    def forget_idle(self, workers: Iterable[Worker], now_ms: float) -> None:
+        """Drop functions without recent requests; if the table is full, up to half of all.
+
+        Kept in any case are functions with queued requests or pending work at a worker, and the last one
+        that was used at each worker, as pings probe it.
+        """
+        in_use = {worker.last_function for worker in workers}
+        expired_ms = now_ms - IDLE_FUNCTION_TTL_MS
+        surplus = MAX_FUNCTIONS // 2 if self.is_full() else 0
+        oldest_first = sorted(self.by_name.values(), key=lambda function: function.arrivals.last_ms)
+        for index, function in enumerate(oldest_first):
+            if function.queue or function in in_use or _has_pending_work(function):
+                continue
+            if index < surplus or function.arrivals.last_ms < expired_ms:
+                del self.by_name[function.name]
+
+    def forget_worker(self, worker: Worker) -> None:
+        """Drop all pools at a worker that was dropped."""
+        for function in self.by_name.values():
+            function.pools.pop(worker.id, None)
+            function.known_workers = None
+
+
+def _has_pending_work(function: Function) -> bool:
+    """Whether an attempt, a probe or a start order is pending at any worker."""
+    return any(
+        pool.in_flight or pool.pending_probes or pool.start_ordered_ms is not None
+        for pool in function.pools.values()
+    )
--- /dev/null
+++ b/function_router/decisions/health.py
@@ -0,0 +1,179 @@
+"""Health of workers: pending replies, pings, and which workers are unresponsive or slow.
+
+A worker that owes a reply and stays silent is pinged, and is unresponsive if it doesn't answer the ping
+either. The protocol has no ping of its own: a probe of the function that was last used at the worker serves
+as one.
+"""
+
+import math
+from collections.abc import Iterator
+
+from function_router.decisions.actions import EnsureInstances, LogMessage
+from function_router.decisions.capacity import Capacity
+from function_router.decisions.circuit_breakers import CircuitBreakers
+from function_router.decisions.durations import Durations
+from function_router.decisions.outbox import Outbox
+from function_router.decisions.records import STATISTICS_WINDOW_MS, Function, Worker
+from function_router.decisions.settings import Settings
+from function_router.decisions.types import Outcome, WorkerState
+from function_router.decisions.workers import WorkerTable
+
+# A worker is not silent before it has owed a reply for this long, however short the runs are.
+MIN_SILENCE_MS = 300.0
+
+# An attempt, or a silent worker, is overdue after this many median runs.
+OVERDUE_RUNS = 3.0
+
+# An attempt is presumed lost after this many. With many routers, a silent worker is pinged only then: to each
+# router, most workers are silent most of the time.
+LOST_RUNS = 8.0
+
+# A worker that doesn't answer a ping for this long is unresponsive.
+PING_TIMEOUT_MS = 80.0
+
+# Interval of pings to an unresponsive worker. After an answered probe, a worker isn't pinged for as long.
+PING_INTERVAL_MS = 1_000.0
+
+# Weight of one run in the estimated slowdown of its worker.
+SLOWDOWN_GAIN = 0.4
+
+# A worker whose runs take this many times the usual is slow.
+SLOW_RUN_FACTOR = 1.8
+
+
+class Health:
+    """Knows which workers may be used. It reports new unresponsive ones to the caller, who acts on it."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        workers: WorkerTable,
+        durations: Durations,
+        capacity: Capacity,
+        outbox: Outbox,
+    ) -> None:
+        self._can_ping = settings.can_order_starts
+        self._workers = workers
+        self._durations = durations
+        self._capacity = capacity
+        self._outbox = outbox
+        self._watched: dict[int, Worker] = {}  # by id: those that may owe a reply
+        self._unresponsive_count = 0  # of the ready workers
+        self.breakers = CircuitBreakers(workers)
+
+    def is_usable(self, worker: Worker, class_name: str, now_ms: float) -> bool:
+        """Whether a worker may get new requests of a class.
+
+        Unresponsive workers may if most workers are: the fault is then more likely to be this router's.
+        """
+        if worker.endpoint.state != WorkerState.READY:
+            return False
+        if worker.unresponsive_since_ms is not None and not self._are_most_unresponsive():
+            return False
+        return not (worker.breakers and self.breakers.is_open(worker, class_name, now_ms))
+
+    def _are_most_unresponsive(self) -> bool:
+        return self._unresponsive_count * 2 > len(self._workers.ready)
+
+    def is_silent(self, worker: Worker, runs: float, now_ms: float) -> bool:
+        """Whether a worker has owed a reply for this many median runs, without sending anything."""
+        limit_ms = max(MIN_SILENCE_MS, runs * self._durations.median_run_of_all_ms(now_ms))
+        since_ms = worker.awaiting_reply_since_ms
+        return since_ms is not None and now_ms - since_ms >= limit_ms
+
+    def is_preferable(self, worker: Worker, now_ms: float) -> bool:
+        """Whether a worker is neither slow nor silent."""
+        return worker.slow_until_ms <= now_ms and not self.is_silent(worker, OVERDUE_RUNS, now_ms)
+
+    def recount_unresponsive(self) -> None:
+        """Recount the unresponsive workers after a change of the ready ones."""
+        ready = self._workers.ready
+        self._unresponsive_count = sum(worker.unresponsive_since_ms is not None for worker in ready)
+
+    def forget_worker(self, worker: Worker) -> None:
+        """Stop watching a worker that is gone for good."""
+        self._watched.pop(worker.id, None)
+
+    def expect_reply(self, worker: Worker, now_ms: float, *, silent_for_ms: float = 0.0) -> None:
+        """Expect a reply from a worker; its silence counts only after `silent_for_ms`."""
+        if worker.awaiting_reply_since_ms is None:
+            worker.awaiting_reply_since_ms = now_ms + silent_for_ms
+            self._watched[worker.id] = worker
+
+    def record_reply(self, worker: Worker, now_ms: float, *, silent_for_ms: float = 0.0) -> None:
+        """Record a reply of a worker; if it owes more, its silence counts only after `silent_for_ms`."""
+        worker.awaiting_reply_since_ms = now_ms + silent_for_ms if worker.in_flight else None
+        worker.pinged_ms = None
+        if worker.unresponsive_since_ms is None:
+            return
+        worker.unresponsive_since_ms = None
+        if worker.endpoint.state == WorkerState.READY:
+            self._unresponsive_count -= 1
+        self._outbox.add(LogMessage(f"worker {worker.id} answers again"))
+
+    def record_no_reply(self, worker: Worker, outcome: Outcome, now_ms: float) -> bool:
+        """Record that an attempt, start order or probe ended without a reply of the worker.
+
+        A reset connection doesn't show that the process is down, so the worker is pinged.
+
+        Returns:
+            Whether the worker has just become unresponsive.
+        """
+        if outcome is Outcome.CONNECT_FAILED:
+            return self.mark_unresponsive(worker, now_ms)
+        is_trusted = worker.unresponsive_since_ms is None and worker.pinged_ms is None
+        if outcome is Outcome.RESET and is_trusted:
+            self._ping(worker, now_ms)
+        return False
+
+    def record_slowdown(self, worker: Worker, factor: float, now_ms: float) -> None:
+        """Record that a run took `factor` times the usual.
+
+        With many routers, long runs are the sign of load from other routers. A slow worker is not preferred
+        for a while: for as long as its slowdown would take to decay to the threshold.
+        """
+        worker.slowdown += SLOWDOWN_GAIN * (factor - worker.slowdown)
+        if self._capacity.many_routers and worker.slowdown > SLOW_RUN_FACTOR:
+            decay_times = math.log((worker.slowdown - 1) / (SLOW_RUN_FACTOR - 1))
+            worker.slow_until_ms = now_ms + STATISTICS_WINDOW_MS * decay_times
+
+    def check_timeouts(self, now_ms: float) -> Iterator[Worker]:
+        """Ping silent workers, and yield each worker at the moment when it becomes unresponsive."""
+        for worker in list(self._watched.values()):
+            if worker.unresponsive_since_ms is not None:
+                if now_ms - (worker.pinged_ms or worker.unresponsive_since_ms) >= PING_INTERVAL_MS:
+                    self._ping(worker, now_ms)
+            elif worker.pinged_ms is not None:
+                if now_ms - worker.pinged_ms >= PING_TIMEOUT_MS and self.mark_unresponsive(worker, now_ms):
+                    yield worker
+            elif worker.awaiting_reply_since_ms is None:
+                del self._watched[worker.id]
+            elif self.is_silent(worker, LOST_RUNS if self._capacity.many_routers else OVERDUE_RUNS, now_ms):
+                self._ping(worker, now_ms)
+
+    def mark_unresponsive(self, worker: Worker, now_ms: float) -> bool:
+        """Treat a worker as unresponsive until it replies; False if it was unresponsive already."""
+        if worker.unresponsive_since_ms is not None:
+            return False
+        worker.unresponsive_since_ms = now_ms
+        worker.pinged_ms = now_ms
+        self._watched[worker.id] = worker
+        if worker.endpoint.state == WorkerState.READY:
+            self._unresponsive_count += 1
+        self._outbox.add(LogMessage(f"worker {worker.id} is silent: nothing new goes there"))
+        return True
+
+    def _ping(self, worker: Worker, now_ms: float) -> None:
+        worker.pinged_ms = now_ms
+        is_removed = worker.endpoint.state == WorkerState.REMOVED
+        if worker.last_function and self._can_ping and not is_removed:
+            self.probe(worker.last_function, worker, now_ms)
+
+    def probe(self, function: Function, worker: Worker, now_ms: float) -> None:
+        """Ask a worker how many instances of a function it has."""
+        pool = function.pool_at(worker)
+        pool.pending_probes += 1
+        pool.last_probed_ms = now_ms
+        function.last_probed_ms = now_ms
+        self.expect_reply(worker, now_ms)
+        self._outbox.add(EnsureInstances(worker.id, function.name, 0))
--- /dev/null
+++ b/function_router/decisions/instances.py
@@ -0,0 +1,89 @@
+"""What this router believes about instances at the workers.
+
+It learns of an instance by starting it, by an answer from it, or by a probe. Workers stop idle instances
+without notice, so a belief expires.
+"""
+
+import math
+from enum import Enum
+
+from function_router.decisions.capacity import Capacity
+from function_router.decisions.events import AttemptEnded, InstancesReported
+from function_router.decisions.records import ARRIVAL_DECAY_MS, Attempt, InstancePool, Request, Worker
+from function_router.decisions.settings import Settings
+from function_router.decisions.types import Outcome, StartKind
+
+# Unless there are many routers, a report or an observation older than this is verified by a probe.
+FRESH_MS = 1_000.0
+
+# Answers to requests that found no free slot and waited for a cold start.
+COLD_START_KINDS = (StartKind.COLD_START, StartKind.JOINED_COLD_START)
+
+
+class SlotState(Enum):
+    """Whether a worker has a free slot for a request."""
+
+    NONE = 0  # all slots are taken, or the worker is blocked
+    DOUBTFUL = 1  # there should be one, but the worker has to be probed first
+    FREE = 2
+
+
+class Instances:
+    """Reads and updates the instance pools."""
+
+    def __init__(self, settings: Settings, capacity: Capacity) -> None:
+        self._keep_alive_ms = settings.keep_alive_ms
+        self._can_probe = settings.can_order_starts
+        self._capacity = capacity
+
+    def count(self, pool: InstancePool, worker: Worker, now_ms: float) -> int:
+        """Instances believed to exist: none after a restart of the worker, or after a long idle time.
+
+        With many routers, a belief lasts longer, as requests of the other routers keep instances alive.
+        """
+        if pool.last_seen_ms <= (worker.started_ms or -math.inf):
+            return 0
+        if pool.in_flight == 0:
+            ttl_ms = ARRIVAL_DECAY_MS if self._capacity.many_routers else self._keep_alive_ms
+            if now_ms - pool.last_seen_ms > ttl_ms:
+                return 0
+        return pool.count
+
+    def slot_state(self, request: Request, worker: Worker, now_ms: float) -> SlotState:
+        """Whether a worker with a pool of the request's function has a free slot for it."""
+        pool = request.function.pools[worker.id]
+        slots = request.concurrency
+        if now_ms < pool.blocked_until_ms or self.count(pool, worker, now_ms) * slots <= pool.in_flight:
+            return SlotState.NONE
+        if self._capacity.many_routers or not self._can_probe or now_ms - pool.last_counted_ms < FRESH_MS:
+            return SlotState.FREE
+        seen_instances = 1 if now_ms - pool.last_seen_ms < FRESH_MS else 0
+        busy_instances = -(-pool.in_flight // slots)  # rounded up
+        proven_slots = max(busy_instances, seen_instances) * slots
+        return SlotState.FREE if proven_slots > pool.in_flight else SlotState.DOUBTFUL
+
+    def record_served(self, event: AttemptEnded, attempt: Attempt, now_ms: float) -> None:
+        """Record that an instance has answered.
+
+        A cold start although a slot should have been free shows that the believed instances are gone, unless
+        the worker has reported them since the send.
+        """
+        function = attempt.function
+        pool = function.pools[attempt.worker.id]
+        had_free_slot = event.in_flight is not None and event.in_flight < function.concurrency
+        was_cold = event.start_kind in COLD_START_KINDS
+        are_gone = had_free_slot and was_cold and pool.last_counted_ms < attempt.sent_ms
+        pool.count = 1 if are_gone else max(1, pool.count)
+        pool.last_seen_ms = now_ms
+
+    def record_report(
+        self, event: InstancesReported, pool: InstancePool, concurrency: int, now_ms: float
+    ) -> None:
+        """Record how many instances a worker reports, and since when a speculative one is unused."""
+        is_speculative_start = pool.is_speculative and pool.is_start_report(event)
+        if is_speculative_start and event.outcome is Outcome.OK:
+            pool.unused_since_ms = now_ms
+            pool.slots_before = pool.count * concurrency
+        pool.count = event.instances
+        pool.last_counted_ms = now_ms
+        pool.last_seen_ms = now_ms
--- /dev/null
+++ b/function_router/decisions/placement.py
@@ -0,0 +1,167 @@
+"""Placement: which workers a function's requests and instances go to, and in which order.
+
+Every router computes the same order of workers for a function, by weighted rendezvous hashing, so that all
+routers share the function's instances without talking to each other. The first workers of that order that
+have headroom are preferred. Their number, the fan-out of the function, follows the load of all routers.
+"""
+
+import math
+from itertools import islice
+
+from function_router.decisions.arrivals import Arrivals
+from function_router.decisions.capacity import REFRESH_INTERVAL_MS, Capacity
+from function_router.decisions.durations import Durations
+from function_router.decisions.health import Health
+from function_router.decisions.instances import Instances
+from function_router.decisions.records import STATISTICS_WINDOW_MS, Function, Request, Worker
+from function_router.decisions.slow_start import SlowStart
+from function_router.decisions.workers import WorkerTable
+from function_router.hashing import rendezvous_rank
+from function_router.statistics import DecayingCounter
+
+# Hashing with bounded loads: a worker gets up to this multiple of its fair share of the own attempts in
+# flight, but never fewer than the minimum.
+LOAD_BOUND_FACTOR = 1.5
+MIN_LOAD_BOUND = 2.0
+
+# A worker has headroom up to this multiple of its fair share of the own sends in the statistics window, but
+# never with fewer sends than the minimum.
+SEND_SHARE_FACTOR = 1.3
+MIN_SEND_SHARE = 0.5
+
+# Other workers are probed for a warm function only past this multiple: sampling noise alone takes many
+# workers past the factor above.
+FAR_SEND_SHARE_FACTOR = 2.0
+
+# The fan-out gives each preferred worker, on average, requests for at most this many instances, and for at
+# most this fraction of its capacity: the rest is for uneven arrivals and for other functions.
+FANOUT_SLOT_FRACTION = 1.2
+FANOUT_CAPACITY_FRACTION = 0.6
+
+
+class Placement:
+    """Orders the workers for each function, and knows which of them can take more."""
+
+    def __init__(
+        self,
+        workers: WorkerTable,
+        arrivals: Arrivals,
+        durations: Durations,
+        slow_start: SlowStart,
+        capacity: Capacity,
+        health: Health,
+        instances: Instances,
+    ) -> None:
+        self._workers = workers
+        self._arrivals = arrivals
+        self._durations = durations
+        self._slow_start = slow_start
+        self._capacity = capacity
+        self._health = health
+        self._instances = instances
+        self.sends = DecayingCounter(STATISTICS_WINDOW_MS)  # own sends to all workers
+
+    def hash_order(self, function: Function) -> list[Worker]:
+        """All ready workers in rendezvous order, the same at every router."""
+        sizes = self._workers.ready_sizes
+        if function.hash_order_sizes is not sizes:
+            rank = {
+                worker: (rendezvous_rank(function.hash, worker.hash, worker.machine_size), worker.id)
+                for worker in self._workers.ready
+            }
+            function.hash_order = sorted(rank, key=rank.__getitem__)
+            function.hash_order_sizes = sizes
+            function.known_workers = None
+        return function.hash_order
+
+    def known_workers(self, function: Function) -> list[Worker]:
+        """The ready workers at which the function has a pool, in hash order."""
+        order = self.hash_order(function)
+        if function.known_workers is None:
+            function.known_workers = [worker for worker in order if worker.id in function.pools]
+        return function.known_workers
+
+    def preferred_workers(self, function: Function, request: Request, now_ms: float) -> list[Worker]:
+        """The first workers with headroom in hash order, or the first ones of all if none has any.
+
+        For a warm function, each request starts at a random one of them. For a cold one, all requests start
+        at the first, so that all routers start the function at the same worker.
+        """
+        order = self.hash_order(function)
+        with_headroom = (worker for worker in order if self.has_headroom(worker, now_ms))
+        preferred = list(islice(with_headroom, function.fanout)) or order[: function.fanout]
+        if not preferred or not self.is_warm(function, now_ms):
+            return preferred
+        first = request.random_bits % len(preferred)
+        return preferred[first:] + preferred[:first]
+
+    def candidates(self, function: Function, request: Request, now_ms: float) -> list[Worker]:
+        """The workers that may have an instance, in the order in which a request tries them."""
+        known = self.known_workers(function)
+        if not self._capacity.many_routers:
+            return known
+        preferred = self.preferred_workers(function, request, now_ms)
+        known_preferred = [worker for worker in preferred if worker.id in function.pools]
+        by_headroom = sorted(known, key=lambda worker: not self.has_headroom(worker, now_ms))
+        return list(dict.fromkeys(known_preferred + by_headroom))
+
+    def has_headroom(self, worker: Worker, now_ms: float, factor: float = SEND_SHARE_FACTOR) -> bool:
+        """Whether a worker is below a multiple of its fair share of sends, and neither slow nor silent."""
+        capacity = self._capacity
+        fair_share = self.sends.value(now_ms) * capacity.size(worker, now_ms) / capacity.total_size
+        if worker.sends.value(now_ms) > max(MIN_SEND_SHARE, factor * fair_share):
+            return False
+        return self._health.is_preferable(worker, now_ms)
+
+    def is_warm(self, function: Function, now_ms: float) -> bool:
+        """Whether a usable worker is believed to have an instance."""
+        return any(self._is_warm_at(function, worker, now_ms) for worker in self.known_workers(function))
+
+    def is_warm_near_share(self, function: Function, now_ms: float) -> bool:
+        """Whether a usable worker that is not far past its share is believed to have an instance."""
+        return any(
+            self._is_warm_at(function, worker, now_ms)
+            and self.has_headroom(worker, now_ms, FAR_SEND_SHARE_FACTOR)
+            for worker in self.known_workers(function)
+        )
+
+    def _is_warm_at(self, function: Function, worker: Worker, now_ms: float) -> bool:
+        if not self._health.is_usable(worker, function.class_name, now_ms):
+            return False
+        return self._instances.count(function.pools[worker.id], worker, now_ms) > 0
+
+    def has_capacity(self, worker: Worker, now_ms: float, *, fraction: float = 1.0) -> bool:
+        """Whether a worker is below a fraction of its in-flight limit, and within its slow-start budget."""
+        if worker.in_flight >= worker.max_in_flight * fraction:
+            return False
+        return self._slow_start.admits(worker, now_ms)
+
+    def is_below_load_bound(self, worker: Worker, own_attempts: int, now_ms: float) -> bool:
+        """Whether a worker has fewer own attempts in flight than its bound (hashing with bounded loads)."""
+        capacity = self._capacity
+        fair_share = (own_attempts + 1) * capacity.size(worker, now_ms) / capacity.total_size
+        min_bound = MIN_LOAD_BOUND * self._slow_start.capacity_share(worker, now_ms)
+        return worker.in_flight < max(min_bound, LOAD_BOUND_FACTOR * fair_share)
+
+    def record_arrival(self, function: Function, now_ms: float) -> None:
+        """Count a request of a function, and update the function's fan-out.
+
+        The requests of all routers in flight are estimated in two ways, of which the greater one counts: from
+        the own arrivals by Little's law, and from the numbers in flight that workers report.
+        """
+        function.estimated_in_flight *= function.arrivals.decay(now_ms)
+        since_ms = self._arrivals.observed_since_ms
+        own_rate = function.arrivals.rate(now_ms, since_ms, REFRESH_INTERVAL_MS)
+        rate = own_rate * self._capacity.router_count
+        demand = max(rate * self._durations.median_run_ms(function, now_ms), function.estimated_in_flight)
+        max_by_slots = FANOUT_SLOT_FRACTION * function.concurrency
+        max_by_capacity = FANOUT_CAPACITY_FRACTION * self._capacity.worker_capacity
+        needed = max(1, math.ceil(demand / min(max_by_slots, max_by_capacity)))
+        function.fanout = min(needed, max(1, len(self._workers.ready)))
+        function.arrivals.add(now_ms)
+
+    def record_send(self, worker: Worker, now_ms: float) -> None:
+        """Count a send towards the worker's share and its slow-start budget."""
+        self.sends.add(now_ms)
+        worker.sends.add(now_ms)
+        self._slow_start.record_send(worker, now_ms)
--- /dev/null
+++ b/function_router/decisions/retries.py
@@ -0,0 +1,105 @@
+"""Retries and hedges: sending a request again, or answering it if its class forbids that."""
+
+from function_router.decisions.answers import Answers
+from function_router.decisions.capacity import FINAL_OBJECTIVE_FRACTION
+from function_router.decisions.dispatch import Dispatcher
+from function_router.decisions.fleet import Fleet
+from function_router.decisions.health import LOST_RUNS, OVERDUE_RUNS
+from function_router.decisions.records import Attempt, Request, Worker
+from function_router.decisions.requests import OpenRequests
+from function_router.decisions.retry_policy import RetryPolicy
+
+# Hedge budget: each request adds this fraction of a hedge, and no more than the maximum is saved up.
+HEDGES_PER_REQUEST = 0.1
+MAX_HEDGE_BUDGET = 3.0
+
+
+class Retries:
+    """Sends requests again whose attempts have failed, are overdue or are presumed lost."""
+
+    def __init__(
+        self,
+        fleet: Fleet,
+        requests: OpenRequests,
+        retry_policy: RetryPolicy,
+        answers: Answers,
+        dispatcher: Dispatcher,
+    ) -> None:
+        self._durations = fleet.durations
+        self._breakers = fleet.health.breakers
+        self._requests = requests
+        self._retry_policy = retry_policy
+        self._answers = answers
+        self._dispatcher = dispatcher
+        self._hedge_budget = MAX_HEDGE_BUDGET
+
+    def record_arrival(self) -> None:
+        """Add a new request's share to the hedge budget."""
+        self._hedge_budget = min(MAX_HEDGE_BUDGET, self._hedge_budget + HEDGES_PER_REQUEST)
+
+    def record_answer(self, request: Request, attempt: Attempt) -> None:
+        """Refund a hedge that was answered before the first attempt: it was worth its cost."""
+        first = request.attempts[0]
+        if attempt is not first and first.in_flight:
+            self._hedge_budget += 1
+
+    def retry_or_finish(self, request: Request, now_ms: float) -> None:
+        """Queue a request for another attempt where its class allows one; otherwise answer it.
+
+        A request with an attempt still in flight waits for that instead.
+        """
+        if self._retry_policy.allows_attempt(request, now_ms):
+            self._dispatcher.enqueue(request, now_ms)
+        elif not request.has_attempt_in_flight():
+            self._answers.finish(request)
+
+    def retry_elsewhere(self, worker: Worker, now_ms: float) -> None:
+        """Retry the requests that are in flight at an unresponsive worker, or finish them."""
+        for attempt in list(self._requests.attempts.values()):
+            if attempt.worker is not worker:
+                continue
+            request = self._requests.by_id.get(attempt.request_id)
+            if request is not None and request not in attempt.function.queue:
+                self.retry_or_finish(request, now_ms)
+                self._dispatcher.dispatch(attempt.function, now_ms)
+
+    def hedge_if_overdue(self, request: Request, now_ms: float) -> None:
+        """Queue a request for another attempt if its last one is overdue and the hedge budget allows it."""
+        runs_ms = OVERDUE_RUNS * self._durations.median_run_ms(request.function, now_ms)
+        objective_ms = request.request_class.latency_objective_ms
+        limit_ms = min(runs_ms, objective_ms * FINAL_OBJECTIVE_FRACTION)
+        attempt = request.attempts[-1]
+        is_overdue = attempt.in_flight and now_ms - attempt.sent_ms > limit_ms
+        if not is_overdue or self._hedge_budget < 1:
+            return
+        if self._retry_policy.allows_attempt(request, now_ms):
+            self._hedge_budget -= 1
+            self._dispatcher.enqueue(request, now_ms)
+
+    def presume_lost(self, now_ms: float) -> None:
+        """Count attempts that have been in flight for too long as failures of their workers.
+
+        If that trips the circuit breaker, the request is sent again, provided that a slot is free elsewhere
+        at once. Unresponsive workers are left out, as their requests have been retried already.
+        """
+        for attempt in list(self._requests.attempts.values()):
+            is_overdue = self._is_presumably_lost(attempt, now_ms)
+            if attempt.is_lost or not is_overdue or attempt.worker.unresponsive_since_ms is not None:
+                continue
+            attempt.is_lost = True
+            self._breakers.record_failure(attempt.worker, attempt.class_name, now_ms)
+            request = self._requests.by_id.get(attempt.request_id)
+            if request is None or not self._breakers.is_tripped(attempt.worker, attempt.class_name):
+                continue
+            if request not in attempt.function.queue and self._retry_policy.allows_attempt(request, now_ms):
+                self._dispatcher.send_at_once(request, now_ms)
+
+    def _is_presumably_lost(self, attempt: Attempt, now_ms: float) -> bool:
+        """Whether an attempt takes far longer than a run; less is enough if the breaker is tripped."""
+        has_failures = self._breakers.is_tripped(attempt.worker, attempt.class_name)
+        runs = OVERDUE_RUNS if has_failures else LOST_RUNS
+        run_ms = max(
+            self._durations.median_run_ms(attempt.function, now_ms),
+            self._durations.median_run_of_all_ms(now_ms),
+        )
+        return now_ms >= attempt.sent_ms + runs * run_ms
--- /dev/null
+++ b/function_router/decisions/scaling.py
@@ -0,0 +1,158 @@
+"""Scaling: conditional speculative scaling after CIDRE, and probes.
+
+A request that finds no free slot of a warm instance is queued. If all warm instances are busy, one cold
+start races them for it, as long as the function's switch allows that (see `speculation`). If there is no
+warm instance, a cold start is ordered in any case; before it, workers are probed, as other routers may have
+started instances.
+"""
+
+import math
+
+from function_router.decisions.admission import Admission
+from function_router.decisions.arrivals import ARRIVAL_WINDOW_MS
+from function_router.decisions.events import InstancesReported
+from function_router.decisions.fleet import Fleet
+from function_router.decisions.instances import SlotState
+from function_router.decisions.records import Function, Request, Worker
+from function_router.decisions.settings import Settings
+from function_router.decisions.speculation import Speculation
+from function_router.decisions.start_orders import StartOrders
+from function_router.decisions.types import Outcome
+
+# A cold start waits this long for pending probes of its function: about one round trip to a worker.
+PROBE_WAIT_MS = 12.0
+
+# A new request doesn't cause another probe of a worker for this long.
+PROBE_TTL_MS = ARRIVAL_WINDOW_MS
+
+# For a function without a known instance, this many workers are probed at once.
+PROBE_FANOUT = 4
+
+
+class Scaling:
+    """Decides when workers are probed for instances, and when instances are started."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        fleet: Fleet,
+        admission: Admission,
+        speculation: Speculation,
+        start_orders: StartOrders,
+    ) -> None:
+        self._can_order_starts = settings.can_order_starts
+        self._capacity = fleet.capacity
+        self._health = fleet.health
+        self._instances = fleet.instances
+        self._placement = fleet.placement
+        self._admission = admission
+        self._speculation = speculation
+        self._start_orders = start_orders
+
+    def race(self, function: Function, now_ms: float) -> None:
+        """Order cold starts for the queued requests, which race the busy warm instances if there are any.
+
+        One start serves as many requests as an instance has slots. Pending ones count as well.
+        """
+        if self._has_recent_probe(function, now_ms):
+            return
+        is_warm = self._placement.is_warm(function, now_ms)
+        pending = self._count_pending_starts(function, now_ms)
+        waiting = self._count_requests_worth_a_start(function, now_ms, is_warm=is_warm)
+        if is_warm and (self._admission.is_at_limit() or not self._speculation.update(function, now_ms)):
+            return
+        for _ in range(math.ceil(waiting / function.concurrency) - pending):
+            if not self._start_orders.allows_order(now_ms):
+                return
+            worker = self._start_orders.choose_worker(function, now_ms, is_speculative=is_warm)
+            if worker is None:
+                return
+            self._start_orders.order(function, worker, now_ms, is_speculative=is_warm)
+
+    def _count_pending_starts(self, function: Function, now_ms: float) -> int:
+        """The number of pending start orders at usable workers."""
+        return sum(
+            function.pools[worker.id].start_ordered_ms is not None
+            for worker in self._placement.known_workers(function)
+            if self._health.is_usable(worker, function.class_name, now_ms)
+        )
+
+    def _count_requests_worth_a_start(self, function: Function, now_ms: float, *, is_warm: bool) -> int:
+        """The number of queued requests for which starts are ordered.
+
+        If there is a warm instance, requests over quota wait for it. With many routers, so do those that
+        will miss their objective.
+        """
+        if not is_warm:
+            return len(function.queue)
+        count = 0
+        for request in function.queue:
+            if request.over_quota:
+                continue
+            if self._capacity.many_routers and self._admission.will_miss_objective(request, now_ms):
+                continue
+            count += 1
+        return count
+
+    def find_instances(self, function: Function, request: Request, now_ms: float) -> None:
+        """Look for instances on behalf of a new request, unless one is known that can take it.
+
+        With many routers, each asks only its first preferred worker, which is mostly that of all others, too.
+        """
+        if self._capacity.many_routers:
+            if self._placement.is_warm_near_share(function, now_ms):
+                return
+            workers = self._placement.preferred_workers(function, request, now_ms)[:1]
+        else:
+            if self._placement.is_warm(function, now_ms):
+                return
+            workers = self._placement.hash_order(function)[:PROBE_FANOUT]
+        for worker in workers:
+            self._ensure_instance(function, worker, now_ms)
+
+    def _ensure_instance(self, function: Function, worker: Worker, now_ms: float) -> None:
+        """Probe a worker without a known instance; with many routers, start one if it was just probed."""
+        pool = function.pool_at(worker)
+        is_usable = self._health.is_usable(worker, function.class_name, now_ms)
+        if not (is_usable and self._can_order_starts):
+            return
+        if self._instances.count(pool, worker, now_ms):
+            return
+        is_warm = self._placement.is_warm(function, now_ms)
+        may_start = self._capacity.many_routers and not pool.pending_probes
+        may_start = may_start and (not is_warm or self._speculation.update(function, now_ms))
+        if now_ms - pool.last_probed_ms > PROBE_TTL_MS:
+            self._health.probe(function, worker, now_ms)
+        elif may_start and self._start_orders.can_start_at(function, worker, now_ms, is_speculative=is_warm):
+            self._start_orders.order(function, worker, now_ms, is_speculative=is_warm)
+
+    def has_free_slot(self, request: Request, worker: Worker, now_ms: float) -> bool:
+        """Whether a worker has a free slot for a request; if that is in doubt, the worker is probed."""
+        state = self._instances.slot_state(request, worker, now_ms)
+        if state is SlotState.DOUBTFUL:
+            function = request.function
+            is_usable = self._health.is_usable(worker, function.class_name, now_ms)
+            if is_usable and not function.pools[worker.id].pending_probes:
+                self._health.probe(function, worker, now_ms)
+        return state is SlotState.FREE
+
+    def must_wait_for_probe(self, function: Function, now_ms: float) -> bool:
+        """Whether requests wait as, with many routers, the preferred worker is to answer its probe first."""
+        return self._capacity.many_routers and self._has_recent_probe(function, now_ms)
+
+    def _has_recent_probe(self, function: Function, now_ms: float) -> bool:
+        """Whether a probe of a function is pending that was sent about a round trip ago at most."""
+        if now_ms - function.last_probed_ms >= PROBE_WAIT_MS:
+            return False
+        return any(pool.pending_probes for pool in function.pools.values())
+
+    def record_probe_answer(
+        self, function: Function, worker: Worker, event: InstancesReported, now_ms: float
+    ) -> None:
+        """Record the end of a probe; with many routers, have a preferred worker start a missing instance."""
+        pool = function.pool_at(worker)
+        pool.pending_probes = max(0, pool.pending_probes - 1)
+        if not self._capacity.many_routers or event.outcome is not Outcome.OK:
+            return
+        if worker in self._placement.hash_order(function)[: function.fanout]:
+            self._ensure_instance(function, worker, now_ms)
--- /dev/null
+++ b/function_router/decisions/slow_start.py
@@ -0,0 +1,75 @@
+"""Slow start: the capacity of a worker that has just started, and this router's budget of sends to it.
+
+A worker has a fraction of its capacity when it starts, and all of it after `slow_start_ms`. Until then
+it fails if all routers together send it more than a multiple of its present capacity within the overload
+window.
+"""
+
+from function_router.decisions.arrivals import Arrivals
+from function_router.decisions.records import Worker
+from function_router.decisions.settings import Settings
+from function_router.decisions.workers import WorkerTable
+from function_router.hashing import mix64
+
+# Only this fraction of the budget is used, as capacities and the sends of other routers are estimates.
+BUDGET_SAFETY = 0.75
+
+# Requests of all routers in a window that a worker gets however small its budget is. The operator's rule
+# allows for three, as sampling noise.
+MIN_BUDGET = 1.0
+
+
+class SlowStart:
+    """Capacity and budget of workers in slow start."""
+
+    def __init__(self, settings: Settings, workers: WorkerTable, arrivals: Arrivals, seed: int) -> None:
+        self._settings = settings
+        self._workers = workers
+        self._arrivals = arrivals
+        self._seed = seed
+        self._router_count = max(1, settings.router_count)
+        self._own_quota_per_ms = settings.quota_per_ms / self._router_count
+
+    def capacity_share(self, worker: Worker, now_ms: float) -> float:
+        """The fraction of its capacity that a worker has by now: it grows linearly up to 1."""
+        if worker.started_ms is None:
+            return 1.0
+        initial = self._settings.slow_start_initial
+        progress = max(0.0, now_ms - worker.started_ms) / max(1.0, self._settings.slow_start_ms)
+        return min(1.0, initial + (1 - initial) * progress)
+
+    def admits(self, worker: Worker, now_ms: float) -> bool:
+        """Whether one more send to a worker is within this router's budget for the window."""
+        share = self.capacity_share(worker, now_ms)
+        if share >= 1.0:
+            return True
+        window_ms = self._settings.overload_window_ms
+        worker.slow_start_sends.forget_before(now_ms - window_ms, inclusive=True)
+        rate = self._usual_rate(worker, now_ms)
+        budget = BUDGET_SAFETY * self._settings.overload_multiple * share * window_ms * rate
+        budget += MIN_BUDGET / self._router_count
+        return len(worker.slow_start_sends) + 1 <= budget + self._rounding_offset(worker)
+
+    def _usual_rate(self, worker: Worker, now_ms: float) -> float:
+        """The worker's share of the own requests a millisecond, by which its budget is measured.
+
+        Neither a burst nor the removal of other workers raises it.
+        """
+        usual_rate = max(self._own_quota_per_ms, self._arrivals.mean_rate(now_ms))
+        rate = min(self._arrivals.recent_rate(now_ms), usual_rate)
+        return rate * worker.machine_size / self._workers.largest_size
+
+    def _rounding_offset(self, worker: Worker) -> float:
+        """A pseudorandom number from 0 to 1, fixed for this router and worker, to round the budget by.
+
+        Where the budget of one router is a fraction of a request, just that fraction of all routers may send
+        one.
+        """
+        return mix64(mix64(self._seed ^ worker.hash)) / 2**64
+
+    def record_send(self, worker: Worker, now_ms: float) -> None:
+        """Count a send. Recent ones are always kept, as a worker's start may be notified after them."""
+        worker.recent_sends.add(now_ms)
+        worker.recent_sends.forget_before(now_ms - self._settings.overload_window_ms)
+        if self.capacity_share(worker, now_ms) < 1.0:
+            worker.slow_start_sends.add(now_ms)
--- /dev/null
+++ b/function_router/decisions/speculation.py
@@ -0,0 +1,51 @@
+"""Speculation: whether a cold start may race the busy warm instances of a function.
+
+This is the switch of CIDRE's conditional speculative scaling.
+"""
+
+from function_router.decisions.durations import Durations
+from function_router.decisions.records import Function
+
+
+class Speculation:
+    """Turns the switch of each function, which is on at first.
+
+    It goes off once a speculative instance idles for longer than a run (Ti > Te): a busy one came free
+    before the start was worth it. It goes on again once requests wait for longer than a start takes (Td >
+    Tp).
+    """
+
+    def __init__(self, durations: Durations) -> None:
+        self._durations = durations
+
+    def update(self, function: Function, now_ms: float) -> bool:
+        """Turn the switch if it is time to; returns whether it is on now."""
+        if function.speculates:
+            idle_ms = self._idle_before_use_ms(function, now_ms)
+            is_turned = idle_ms > self._durations.median_run_ms(function, now_ms)
+        else:
+            wait_ms = self._queue_wait_ms(function, now_ms)
+            is_turned = wait_ms > self._durations.median_start_ms(function, now_ms)
+        if is_turned:
+            self._turn(function)
+        return function.speculates
+
+    def _idle_before_use_ms(self, function: Function, now_ms: float) -> float:
+        """Ti, or the idle time so far of a speculative instance that is still unused, if that is longer."""
+        idle_ms = function.idle_before_use_ms
+        for pool in function.pools.values():
+            if pool.unused_since_ms is not None:
+                idle_ms = max(idle_ms, now_ms - pool.unused_since_ms)
+        return idle_ms
+
+    def _queue_wait_ms(self, function: Function, now_ms: float) -> float:
+        """Td, or the wait so far of the request that has been queued for longest, if that is longer."""
+        oldest_ms = min((request.queued_ms for request in function.queue), default=now_ms)
+        return max(now_ms - oldest_ms, function.queue_waits.median(now_ms) or 0.0)
+
+    def _turn(self, function: Function) -> None:
+        function.speculates = not function.speculates
+        function.idle_before_use_ms = 0.0
+        function.queue_waits.clear()
+        for pool in function.pools.values():
+            pool.unused_since_ms = None
--- /dev/null
+++ b/function_router/decisions/start_order_limits.py
@@ -0,0 +1,62 @@
+"""Limits on start orders: how many may be pending at once, and their rate limit."""
+
+from function_router.decisions.arrivals import MAX_START_ORDER_DELAY_MS, Arrivals
+from function_router.decisions.settings import Settings
+from function_router.limits import AdaptiveLimit
+from function_router.statistics import SlidingWindow
+
+# Limit on pending start orders: its initial, least and greatest value. Workers load functions from a shared
+# store, which slows down when many start at once.
+INITIAL_PENDING_ORDERS = 8.0
+MIN_PENDING_ORDERS = 2.0
+MAX_PENDING_ORDERS = 24.0
+
+# A slow or failed start lowers the limit by this fraction.
+PENDING_ORDERS_DECREASE = 0.2
+
+
+class StartOrderLimits:
+    """Counts start orders that are pending, and those sent within the window of the rate limit."""
+
+    def __init__(self, settings: Settings, arrivals: Arrivals) -> None:
+        self._settings = settings
+        self._arrivals = arrivals
+        self._pending = 0
+        self.pending_limit = AdaptiveLimit(
+            INITIAL_PENDING_ORDERS, MIN_PENDING_ORDERS, MAX_PENDING_ORDERS, PENDING_ORDERS_DECREASE
+        )
+        self.sent = SlidingWindow()  # when start orders were sent, or decided if they are not sent yet
+
+    def allows_order(self, now_ms: float) -> bool:
+        """Whether one more start order may be sent now."""
+        has_room = self._pending < self.pending_limit.value
+        return has_room and self._settings.can_order_starts and not self._is_rate_limited(now_ms)
+
+    def _is_rate_limited(self, now_ms: float) -> bool:
+        """Whether one more start order, sent now, would exceed the rate limit."""
+        settings = self._settings
+        window_ms = settings.start_order_window_ms
+        self.sent.forget_before(now_ms - window_ms - settings.tick_ms - MAX_START_ORDER_DELAY_MS)
+        self._arrivals.drop_old(now_ms)
+        requests = len(self._arrivals.recent)
+        allowed = settings.start_order_burst + settings.start_orders_per_request * requests
+        return window_ms > 0 and len(self.sent) + 1 > allowed
+
+    def record_order(self, now_ms: float) -> None:
+        """Count a start order that is sent now."""
+        self._pending += 1
+        self.sent.add(now_ms)
+
+    def record_end(self) -> None:
+        """Count a start order as no longer pending."""
+        self._pending -= 1
+
+    def revalidate(self, counted_ms: float, now_ms: float) -> float | None:
+        """Check an order again that is sent long after its decision; see `Router.revalidate_start_order`."""
+        if now_ms - counted_ms <= MAX_START_ORDER_DELAY_MS:
+            return counted_ms
+        self.sent.discard(counted_ms)
+        if self._is_rate_limited(now_ms):
+            return None
+        self.sent.add(now_ms)
+        return now_ms
--- /dev/null
+++ b/function_router/decisions/start_orders.py
@@ -0,0 +1,110 @@
+"""Start orders: at which worker an instance is started, and how starts are recorded."""
+
+from function_router.decisions.actions import EnsureInstances
+from function_router.decisions.fleet import Fleet
+from function_router.decisions.outbox import Outbox
+from function_router.decisions.records import Function, InstancePool, Worker
+from function_router.decisions.requests import OpenRequests
+from function_router.decisions.start_order_limits import StartOrderLimits
+from function_router.decisions.types import Outcome
+
+# No more instances of a function than this are ordered at one worker.
+MAX_INSTANCES_AT_WORKER = 16
+
+# After a failed start, the worker gets neither attempts nor start orders of the function for this long.
+FAILED_START_BLOCK_MS = 1_000.0
+
+# A start that takes this many times the usual lowers the limit on pending start orders.
+SLOW_START_ORDER_FACTOR = 2.5
+
+
+class StartOrders:
+    """Orders starts of instances, one at a time for each function and worker."""
+
+    def __init__(
+        self,
+        fleet: Fleet,
+        requests: OpenRequests,
+        limits: StartOrderLimits,
+        outbox: Outbox,
+    ) -> None:
+        self._durations = fleet.durations
+        self._health = fleet.health
+        self._instances = fleet.instances
+        self._placement = fleet.placement
+        self._requests = requests
+        self._limits = limits
+        self._outbox = outbox
+
+    def allows_order(self, now_ms: float) -> bool:
+        """Whether the limits allow one more start order."""
+        return self._limits.allows_order(now_ms)
+
+    def can_start_at(
+        self, function: Function, worker: Worker, now_ms: float, *, is_speculative: bool
+    ) -> bool:
+        """Whether an instance may be started at a worker now.
+
+        A speculative start also needs free capacity there: without it, the request is better off waiting
+        for a busy instance.
+        """
+        pool = function.pools.get(worker.id)
+        if pool and (pool.start_ordered_ms is not None or now_ms < pool.blocked_until_ms):
+            return False
+        if not self._health.is_usable(worker, function.class_name, now_ms):
+            return False
+        if is_speculative and not self._placement.has_capacity(worker, now_ms):
+            return False
+        return self._limits.allows_order(now_ms)
+
+    def choose_worker(self, function: Function, now_ms: float, *, is_speculative: bool) -> Worker | None:
+        """The first able worker without an instance and below its load bound, or else the first able one.
+
+        Workers are tried in the order of preference of the request at the head of the queue, then in hash
+        order.
+        """
+        preferred = self._placement.preferred_workers(function, function.queue[0], now_ms)
+        order = preferred + self._placement.hash_order(function)
+        able = (
+            worker
+            for worker in order
+            if self.can_start_at(function, worker, now_ms, is_speculative=is_speculative)
+        )
+        best = (
+            worker
+            for worker in order
+            if self._is_bare_below_bound(function, worker, now_ms)
+            and self.can_start_at(function, worker, now_ms, is_speculative=is_speculative)
+        )
+        return next(best, None) or next(able, None)
+
+    def _is_bare_below_bound(self, function: Function, worker: Worker, now_ms: float) -> bool:
+        pool = function.pools.get(worker.id)
+        if pool is not None and self._instances.count(pool, worker, now_ms):
+            return False
+        return self._placement.is_below_load_bound(worker, len(self._requests.attempts), now_ms)
+
+    def order(self, function: Function, worker: Worker, now_ms: float, *, is_speculative: bool) -> None:
+        """Order one more instance than a worker is believed to have, and expect no reply while it starts."""
+        pool = function.pool_at(worker)
+        pool.start_ordered_ms = now_ms
+        pool.is_speculative = is_speculative
+        pool.ordered_count = min(MAX_INSTANCES_AT_WORKER, self._instances.count(pool, worker, now_ms) + 1)
+        self._limits.record_order(now_ms)
+        start_ms = self._durations.median_start_ms(function, now_ms)
+        self._health.expect_reply(worker, now_ms, silent_for_ms=start_ms)
+        self._outbox.add(EnsureInstances(worker.id, function.name, pool.ordered_count))
+
+    def record_end(self, function: Function, pool: InstancePool, outcome: Outcome, now_ms: float) -> None:
+        """Record the end of a start order: how long the start took, or that it failed."""
+        start_ms = now_ms - (pool.start_ordered_ms or 0.0)
+        usual_ms = function.hinted_start_ms or self._durations.median_start_ms(function, now_ms)
+        pool.start_ordered_ms = None
+        self._limits.record_end()
+        if outcome is Outcome.OK:
+            function.start_times.add(now_ms, start_ms)
+        else:
+            pool.blocked_until_ms = now_ms + FAILED_START_BLOCK_MS
+        if outcome in (Outcome.OK, Outcome.ERROR):
+            is_timely = outcome is Outcome.OK and start_ms < SLOW_START_ORDER_FACTOR * usual_ms
+            self._limits.pending_limit.record(success=is_timely)
--- /dev/null
+++ b/function_router/decisions/workers.py
@@ -0,0 +1,73 @@
+"""The table of workers, as the endpoint list has them."""
+
+import math
+
+from msgspec import structs
+
+from function_router.decisions.events import Endpoint, EndpointsChanged
+from function_router.decisions.records import Worker
+from function_router.decisions.settings import Settings
+from function_router.decisions.types import WorkerState
+from function_router.hashing import hash64
+
+# A worker that was removed from the endpoint list is kept for this long, in case it comes back.
+REMOVED_WORKER_TTL_MS = 60_000.0
+
+# Smaller sizes are taken to be this one, as sizes are divisors.
+MIN_MACHINE_SIZE = 0.01
+
+
+class WorkerTable:
+    """Owns the worker records, and knows which workers are ready."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._are_sizes_known = settings.worker_sizes_known
+        self.by_id: dict[int, Worker] = {}
+        self.ready: list[Worker] = []
+        self.ready_sizes: dict[int, float] = {}  # by id; replaced by a new dict when anything changes
+        self.largest_size = MIN_MACHINE_SIZE  # greatest total size that the ready workers have had
+
+    def update(self, event: EndpointsChanged) -> None:
+        """Apply a complete endpoint list, or the changes in it."""
+        if event.is_complete:
+            self._mark_missing_as_removed(event.endpoints)
+        for endpoint in event.endpoints:
+            self._apply(endpoint)
+        self.ready = [worker for worker in self.by_id.values() if worker.endpoint.state == WorkerState.READY]
+        sizes = {worker.id: worker.machine_size for worker in self.ready}
+        if sizes != self.ready_sizes:
+            self.ready_sizes = sizes
+        self.largest_size = max(self.largest_size, sum(worker.machine_size for worker in self.ready))
+
+    def _mark_missing_as_removed(self, endpoints: list[Endpoint]) -> None:
+        listed = {endpoint.worker_id for endpoint in endpoints}
+        for worker_id in self.by_id.keys() - listed:
+            worker = self.by_id[worker_id]
+            worker.endpoint = structs.replace(worker.endpoint, state=WorkerState.REMOVED)
+
+    def _apply(self, endpoint: Endpoint) -> None:
+        worker = self.by_id.get(endpoint.worker_id)
+        if worker is None:
+            worker = Worker(endpoint.worker_id, endpoint, hash64(str(endpoint.worker_id)))
+            self.by_id[worker.id] = worker
+        worker.endpoint = endpoint
+        worker.machine_size = max(endpoint.size, MIN_MACHINE_SIZE) if self._are_sizes_known else 1.0
+        worker.removed_since_ms = None
+        started_ms = endpoint.started_at_ms
+        if started_ms is not None and started_ms > (worker.started_ms or -math.inf):
+            worker.started_ms = started_ms
+            worker.recount_slow_start_sends()
+
+    def forget_removed(self, now_ms: float) -> list[Worker]:
+        """Drop and return the workers that were removed long ago and have no attempts in flight."""
+        expired_ms = now_ms - REMOVED_WORKER_TTL_MS
+        forgotten = []
+        for worker in self.by_id.values():
+            if worker.endpoint.state is not WorkerState.REMOVED:
+                continue
+            worker.removed_since_ms = worker.removed_since_ms or now_ms
+            if worker.removed_since_ms < expired_ms and not worker.in_flight:
+                forgotten.append(worker)
+        for worker in forgotten:
+            del self.by_id[worker.id]
+        return forgotten
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -100,7 +100,7 @@
 
 def test_removed_workers_do_not_raise_the_in_flight_limit_of_the_others():
     harness = DecisionHarness(workers=4, tenant_quotas_rps={"t": 40.0})
-    limit_before = harness.router.workers[1].max_in_flight
+    limit_before = harness.worker(1).max_in_flight
 
     harness.feed(
         EndpointsChanged(
@@ -109,5 +109,5 @@
     )
     harness.run_timer_until(40)
 
-    assert harness.router.workers[1].max_in_flight == limit_before
+    assert harness.worker(1).max_in_flight == limit_before
     assert limit_before < 20
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -5,7 +5,7 @@
 
 from function_router.decisions.actions import EnsureInstances, SendRequest
 from function_router.decisions.events import Endpoint, EndpointsChanged, RequestCancelled, TimerFired
-from function_router.decisions.router import MAX_FUNCTIONS
+from function_router.decisions.functions import MAX_FUNCTIONS
 from function_router.decisions.types import Outcome, StartKind, WorkerState
 
 # --- the choice of a worker ----------------------------------------------------------------
@@ -93,9 +93,9 @@
 
     harness.feed(EndpointsChanged([Endpoint(warm_worker, started_at_ms=restarted_ms)], is_complete=False))
 
-    worker = harness.router.workers[warm_worker]
-    function = harness.router.functions["f"]
-    assert harness.router._instances(function.pools[warm_worker], worker) == 0
+    worker = harness.worker(warm_worker)
+    function = harness.function("f")
+    assert harness.router.fleet.instances.count(function.pools[warm_worker], worker, harness.now_ms) == 0
 
 
 @pytest.mark.parametrize(
@@ -122,7 +122,7 @@
 
     harness.end_attempt(send, start_kind=StartKind.COLD_START, in_flight=in_flight)
 
-    assert harness.router.functions["f"].pools[warm_worker].count == believed_instances
+    assert harness.function("f").pools[warm_worker].count == believed_instances
 
 
 # --- what is forgotten ---------------------------------------------------------------------
@@ -140,8 +140,8 @@
             harness.report_instances(order.worker_id, 0, order.function, Outcome.QUEUE_FULL)
         harness.feed(RequestCancelled(f"n{number}"))
 
-    assert len(harness.router.functions) <= MAX_FUNCTIONS
-    assert harness.router.functions.keys() >= {"in-flight", "queued"}
+    assert len(harness.router.fleet.functions.by_name) <= MAX_FUNCTIONS
+    assert harness.router.fleet.functions.by_name.keys() >= {"in-flight", "queued"}
     harness.end_attempt(send)  # finds its function
 
 
@@ -159,13 +159,14 @@
     harness.feed(EndpointsChanged([Endpoint(warm_worker, WorkerState.REMOVED)], is_complete=False))
 
     run_timer_every_second(harness, 100)
-    assert harness.router.attempts
-    assert warm_worker in harness.router.workers  # as long as an attempt is in flight there
+    assert harness.router.requests.attempts
+    assert warm_worker in harness.router.fleet.workers.by_id  # as long as an attempt is in flight there
 
     harness.end_attempt(send, Outcome.RESET)
     run_timer_every_second(harness, 100)
-    assert not harness.router.attempts
-    assert warm_worker not in harness.router.workers
-    assert len(harness.router.workers) == 3
-    assert "g" not in harness.router.functions
-    assert not [function for function in harness.router.functions.values() if warm_worker in function.pools]
+    assert not harness.router.requests.attempts
+    assert warm_worker not in harness.router.fleet.workers.by_id
+    assert len(harness.router.fleet.workers.by_id) == 3
+    assert "g" not in harness.router.fleet.functions.by_name
+    functions = harness.router.fleet.functions.by_name.values()
+    assert not [function for function in functions if warm_worker in function.pools]
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -41,7 +41,7 @@
     actions = harness.report_instances(warm_worker, 1)
 
     assert [message for message in actions_of(actions, LogMessage) if "again" in message.text]
-    assert harness.router.workers[warm_worker].unresponsive_since_ms is None
+    assert harness.worker(warm_worker).unresponsive_since_ms is None
 
 
 @pytest.mark.parametrize("is_answered", [True, False])
@@ -56,7 +56,7 @@
     if is_answered:
         harness.report_instances(warm_worker, 1)
     harness.run_timer_until(harness.now_ms + 200)
-    assert (harness.router.workers[warm_worker].unresponsive_since_ms is None) is is_answered
+    assert (harness.worker(warm_worker).unresponsive_since_ms is None) is is_answered
 
     sends = actions_of(harness.request("r2"), SendRequest)
     assert [send.worker_id for send in sends] == ([warm_worker] if is_answered else [])
@@ -65,7 +65,7 @@
 def test_unresponsive_workers_are_used_when_most_of_the_workers_are():
     harness = DecisionHarness(workers=2)
     for worker_id in (1, 2):
-        harness.router._hold_unresponsive(harness.router.workers[worker_id])
+        harness.router.fleet.health.mark_unresponsive(harness.worker(worker_id), harness.now_ms)
 
     actions = harness.request("r1")
 
@@ -109,7 +109,7 @@
 
 def test_lost_answers_open_the_breaker_of_their_class_alone(lost_answers):
     harness = lost_answers.harness
-    worker = harness.router.workers[lost_answers.worker_id]
+    worker = harness.worker(lost_answers.worker_id)
 
     actions = harness.answer_probes(harness.request("r3", concurrency=2), {worker.id: 1})
 
@@ -117,14 +117,14 @@
         message for message in actions_of(lost_answers.actions, LogMessage) if "silent" in message.text
     ]
     assert worker.id not in [send.worker_id for send in actions_of(actions, SendRequest)]
-    assert not harness.router._is_usable(worker, "idempotent")
-    assert harness.router._is_usable(worker, "at-most-once")
+    assert not harness.router.fleet.health.is_usable(worker, "idempotent", harness.now_ms)
+    assert harness.router.fleet.health.is_usable(worker, "at-most-once", harness.now_ms)
 
 
 def test_open_breaker_lets_one_trial_request_through(lost_answers):
     harness = lost_answers.harness
-    worker = harness.router.workers[lost_answers.worker_id]
-    function = harness.router.functions["f"]
+    worker = harness.worker(lost_answers.worker_id)
+    function = harness.function("f")
     harness.answer_probes(harness.request("r3", concurrency=2), {worker.id: 1})
     for send in lost_answers.sends:
         harness.end_attempt(send, Outcome.CANCELLED, is_answered=True)
@@ -132,7 +132,7 @@
 
     trials = actions_of(harness.report_instances(worker.id, 1), SendRequest)
     assert [(trial.request_id, trial.worker_id) for trial in trials] == [("r3", worker.id)]
-    assert not harness.router._is_usable(worker, function.class_name)
+    assert not harness.router.fleet.health.is_usable(worker, function.class_name, harness.now_ms)
 
     actions = harness.request("r4", concurrency=2)
     assert not actions_of(actions, SendRequest)
@@ -142,20 +142,20 @@
 def test_answers_that_come_after_all_close_the_breaker(count):
     lost_answers = lose_answers(count)
     harness = lost_answers.harness
-    assert harness.router.workers[lost_answers.worker_id].breakers
+    assert harness.worker(lost_answers.worker_id).breakers
 
     for send in lost_answers.sends:
         harness.end_attempt(send)
 
-    assert not harness.router.workers[lost_answers.worker_id].breakers
+    assert not harness.worker(lost_answers.worker_id).breakers
 
 
 @pytest.mark.parametrize("was_served", [True, False])
 def test_errors_open_the_breaker_unless_the_function_was_never_served(was_served):
     harness = DecisionHarness()
     warm_worker = harness.warm_up(concurrency=4, class_name="at-most-once")
-    worker = harness.router.workers[warm_worker]
-    function = harness.router.functions["f"]
+    worker = harness.worker(warm_worker)
+    function = harness.function("f")
     if not was_served:
         function.run_times.clear()
     actions = harness.request("r1", class_name="at-most-once", concurrency=4)
@@ -166,7 +166,8 @@
         harness.end_attempt(send, Outcome.ERROR, is_answered=False)
 
     assert len(sends) == 2
-    assert harness.router._is_usable(worker, function.class_name) is not was_served
+    is_usable = harness.router.fleet.health.is_usable(worker, function.class_name, harness.now_ms)
+    assert is_usable is not was_served
 
 
 def test_breaker_is_that_of_the_requests_class_and_not_of_the_functions_first_class():
@@ -180,7 +181,7 @@
         harness.end_attempt(send, Outcome.ERROR, is_answered=True)
 
     assert len(sends) == 2
-    assert list(harness.router.workers[warm_worker].breakers) == ["idempotent"]
+    assert list(harness.worker(warm_worker).breakers) == ["idempotent"]
 
 
 def test_success_counts_for_the_class_of_the_attempt_and_not_for_the_functions_newest_class():
@@ -190,7 +191,7 @@
     failed, succeeded = actions_of(actions, SendRequest)
     harness.end_attempt(failed, Outcome.ERROR, is_answered=True)
     harness.request("r3", class_name="at-most-once", concurrency=4)
-    breakers = harness.router.workers[warm_worker].breakers
+    breakers = harness.worker(warm_worker).breakers
     assert list(breakers) == ["idempotent"]
 
     harness.end_attempt(succeeded)
--- a/tests/decisions/test_many_routers_limits.py
+++ b/tests/decisions/test_many_routers_limits.py
@@ -3,7 +3,7 @@
 from helpers.decision_harness import actions_of, one_of_many_routers, probes
 
 from function_router.decisions.actions import EnsureInstances, RejectRequest
-from function_router.decisions.state import Function
+from function_router.decisions.records import Function
 from function_router.decisions.types import Outcome
 from function_router.hashing import hash64
 
@@ -11,32 +11,31 @@
 def test_speculation_stops_when_an_instance_idles_longer_than_a_run():
     harness = one_of_many_routers(40)
     function = Function("f", "idempotent", 2, None, hash64("f"))
-    harness.router.run_times.add(0.0, 100.0)
-    function.idle_ms = 150.0
+    harness.router.fleet.durations.run_times.add(0.0, 100.0)
+    function.idle_before_use_ms = 150.0
 
-    assert not harness.router._speculates(function)
+    assert not harness.router.speculation.update(function, harness.now_ms)
 
 
 def test_silent_worker_is_passed_over_before_it_is_probed():
     harness = one_of_many_routers(40)
-    router = harness.router
     for _ in range(5):
-        router.run_times.add(0.0, 200.0)
+        harness.router.fleet.durations.run_times.add(0.0, 200.0)
     [send] = harness.complete_starts(harness.request("long"))
-    worker = router.workers[send.worker_id]
+    worker = harness.worker(send.worker_id)
     worker.sends.reset(harness.now_ms)
 
     actions = harness.run_timer_until(harness.now_ms + 540)
     assert not probes(actions)
-    assert router._is_fit(worker)
+    assert harness.router.fleet.placement.has_headroom(worker, harness.now_ms)
 
     actions = harness.run_timer_until(harness.now_ms + 200)  # silent for three runs
     assert not probes(actions)
-    assert not router._is_fit(worker)
+    assert not harness.router.fleet.placement.has_headroom(worker, harness.now_ms)
 
     actions = harness.run_timer_until(harness.now_ms + 1000)  # for eight
     assert probes(actions)
-    assert not router._is_fit(worker)
+    assert not harness.router.fleet.placement.has_headroom(worker, harness.now_ms)
 
 
 def test_worker_is_not_silent_while_a_start_takes_its_time():
@@ -52,22 +51,22 @@
 
 def test_in_flight_limit_shrinks_with_the_responsive_workers():
     harness = one_of_many_routers(40)
-    router = harness.router
-    router._refresh_limits()
-    limit_of_all_workers = router.max_in_flight
+    fleet = harness.router.fleet
+    fleet.capacity.refresh(harness.now_ms)
+    limit_of_all_workers = fleet.capacity.max_in_flight
 
-    for worker in router.ready[:10]:
-        router._hold_unresponsive(worker)
-    router._refresh_limits()
+    for worker in fleet.workers.ready[:10]:
+        fleet.health.mark_unresponsive(worker, harness.now_ms)
+    fleet.capacity.refresh(harness.now_ms)
 
-    assert router.many_routers
-    assert router.max_in_flight == limit_of_all_workers / 2
+    assert fleet.capacity.many_routers
+    assert fleet.capacity.max_in_flight == limit_of_all_workers / 2
 
 
 def test_late_request_without_an_attempt_in_flight_is_rejected_before_its_deadline():
     harness = one_of_many_routers(40)
     [send] = harness.complete_starts(harness.request("r", timeout_ms=2500.0))
-    for worker in harness.router.ready:  # no other worker can take it
+    for worker in harness.router.fleet.workers.ready:  # no other worker can take it
         worker.max_in_flight = 0.0
 
     harness.end_attempt(send, Outcome.ERROR, is_answered=False)
@@ -79,13 +78,14 @@
 
 def test_attempts_past_the_latency_objective_do_not_count_against_the_in_flight_limit():
     harness = one_of_many_routers(100)
-    limit = harness.router.max_in_flight
+    limit = harness.router.fleet.capacity.max_in_flight
     for number in range(12):
         harness.complete_starts(harness.request(f"r{number}", function=f"f{number}"))
-    in_flight_count = len(harness.router.in_flight)
+    in_flight_count = len(harness.router.requests.recent_attempts)
     assert in_flight_count <= limit + 1
     assert limit + 1 < 12
 
     harness.run_timer_until(harness.now_ms + 1200)
 
-    assert not any(harness.now_ms - attempt.sent_ms > 1100 for attempt in harness.router.in_flight)
+    recent_attempts = harness.router.requests.recent_attempts
+    assert not any(harness.now_ms - attempt.sent_ms > 1100 for attempt in recent_attempts)
--- a/tests/decisions/test_many_routers_placement.py
+++ b/tests/decisions/test_many_routers_placement.py
@@ -13,8 +13,8 @@
 )
 
 from function_router.decisions.actions import EnsureInstances, SendRequest
-from function_router.decisions.router import FAR_FACTOR
-from function_router.decisions.state import Function
+from function_router.decisions.placement import FAR_SEND_SHARE_FACTOR
+from function_router.decisions.records import Function
 from function_router.decisions.types import Outcome
 from function_router.hashing import hash64
 
@@ -50,16 +50,12 @@
 
 def functions_with_the_same_first_worker(router):
     """Names of functions that the router prefers to send to one worker, and that worker."""
-    for name in (f"f{number}" for number in range(400)):
-        router.functions[name] = Function(name, "idempotent", 2, None, hash64(name))
-    first_worker = router._hash_order(router.functions["f0"])[0]
-    names = [
-        function.name
-        for function in router.functions.values()
-        if router._hash_order(function)[0] is first_worker
-    ]
-    router.functions.clear()
-    return names, first_worker
+    hash_order = router.fleet.placement.hash_order
+    names = (f"f{number}" for number in range(400))
+    functions = [Function(name, "idempotent", 2, None, hash64(name)) for name in names]
+    first_worker = hash_order(functions[0])[0]
+    sharing = [function.name for function in functions if hash_order(function)[0] is first_worker]
+    return sharing, first_worker
 
 
 def test_functions_that_share_their_first_worker_move_on_past_its_share_of_the_sends():
@@ -75,7 +71,7 @@
 
     assert len(functions) >= 5
     assert sum(sends_by_worker.values()) >= 60
-    assert sends_by_worker[first_worker.id] <= 60 / 20 * FAR_FACTOR + 2
+    assert sends_by_worker[first_worker.id] <= 60 / 20 * FAR_SEND_SHARE_FACTOR + 2
 
 
 def test_full_worker_is_passed_over_for_a_while():
@@ -94,7 +90,7 @@
 
     harness.end_attempt(retries[0], attempt_number=1)
     harness.now_ms += 700.0
-    harness.router.workers[full_worker].sends.reset(harness.now_ms)  # not past its share of the sends
+    harness.worker(full_worker).sends.reset(harness.now_ms)  # not past its share of the sends
     sends = harness.complete_starts(harness.request("next"))
     sends += harness.complete_starts(harness.run_timer_until(harness.now_ms + 200))
     assert sends
@@ -110,14 +106,17 @@
         harness.now_ms += 100.0
         for send in harness.complete_starts(harness.request(f"r{turn}", "hot", concurrency=2)):
             harness.end_attempt(send)
-    function = harness.router.functions["hot"]
+    function = harness.function("hot")
     function.pools.clear()
     function.known_workers = None
-    first_worker = next(filter(harness.router._is_fit, harness.router._hash_order(function)))
+    placement = harness.router.fleet.placement
+    first_worker = next(
+        worker for worker in placement.hash_order(function) if placement.has_headroom(worker, harness.now_ms)
+    )
 
     orders = actions_of(harness.request("next", "hot", concurrency=2), EnsureInstances)
 
-    assert function.width > 1
+    assert function.fanout > 1
     assert [order.worker_id for order in orders] == [first_worker.id]
 
 
@@ -146,15 +145,15 @@
     harness = one_of_many_routers(40)
     [first_send] = harness.complete_starts(harness.request("first", concurrency=2))
     harness.end_attempt(first_send)
-    router = harness.router
-    worker = router.workers[first_send.worker_id]
+    placement = harness.router.fleet.placement
+    worker = harness.worker(first_send.worker_id)
     worker.sends.reset(harness.now_ms, sends_to_worker)
-    router.sends.reset(harness.now_ms, 60.0)  # a share of three
+    placement.sends.reset(harness.now_ms, 60.0)  # a share of three
 
-    is_fit = router._is_fit(worker)
+    has_headroom = placement.has_headroom(worker, harness.now_ms)
     actions = harness.request("next", concurrency=2)
 
-    assert not is_fit
+    assert not has_headroom
     assert bool(actions_of(actions, EnsureInstances)) is are_others_probed
 
 
@@ -185,7 +184,7 @@
 
     serve_one_request(harness, "r0")
     # the sums over all workers are taken once a second, and not at each event
-    harness.router.refreshed_ms = harness.now_ms + 1e9
+    harness.router.fleet.capacity.refreshed_ms = harness.now_ms + 1e9
     sys.setprofile(count_call)
     try:
         for number in range(1, 20):
--- a/tests/decisions/test_many_routers_slow_start.py
+++ b/tests/decisions/test_many_routers_slow_start.py
@@ -125,4 +125,4 @@
         for send in send_request(harness, f"r{number}"):
             harness.end_attempt(send)
 
-    assert not any(worker.slow_start_sends for worker in harness.router.ready)
+    assert not any(worker.slow_start_sends for worker in harness.router.fleet.workers.ready)
--- a/tests/decisions/test_scaling.py
+++ b/tests/decisions/test_scaling.py
@@ -113,7 +113,7 @@
     harness.now_ms += 20
     harness.report_instances(order.worker_id, 1)
     harness.now_ms += 150  # the speculative instance idles for longer than the run of 100 ms
-    worker = harness.router.workers[order.worker_id]
+    worker = harness.worker(order.worker_id)
     worker.endpoint = structs.replace(worker.endpoint, state=WorkerState.DRAINING)  # and can't be used
 
     actions = harness.request("r3")
@@ -165,19 +165,19 @@
 
 def test_slow_starts_lower_the_limit_of_start_orders_and_timely_ones_raise_it():
     harness = DecisionHarness()
-    initial_limit = harness.router.start_order_limit.value
+    initial_limit = harness.router.start_order_limits.pending_limit.value
 
     orders = actions_of(
         harness.answer_probes(harness.request("r1", expected_start_ms=100.0)), EnsureInstances
     )
     harness.now_ms += 1000
     harness.report_instances(orders[0].worker_id, 1)
-    lowered_limit = harness.router.start_order_limit.value
+    lowered_limit = harness.router.start_order_limits.pending_limit.value
 
     orders = actions_of(harness.answer_probes(harness.request("r2", function="g")), EnsureInstances)
     harness.now_ms += 200
     harness.report_instances(orders[0].worker_id, 1, "g")
-    raised_limit = harness.router.start_order_limit.value
+    raised_limit = harness.router.start_order_limits.pending_limit.value
 
     assert lowered_limit < initial_limit
     assert raised_limit > lowered_limit
--- a/tests/helpers/decision_harness.py
+++ b/tests/helpers/decision_harness.py
@@ -166,6 +166,14 @@
         self.end_attempt(send)
         return send.worker_id
 
+    def worker(self, worker_id):
+        """The router's record of a worker."""
+        return self.router.fleet.workers.by_id[worker_id]
+
+    def function(self, name):
+        """The router's record of a function."""
+        return self.router.fleet.functions.by_name[name]
+
     def zone_of(self, worker_id):
         """The zone of a worker."""
         return self.endpoints[worker_id - 1].zone
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -330,7 +330,7 @@
     handle = harness.router_process.router.handle
 
     def arrivals():
-        return harness.router_process.router.arrivals
+        return harness.router_process.router.fleet.arrivals.count
 
     def handle_slowly(now_ms, events):
         actions = handle(now_ms, events)
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -152,7 +152,7 @@
     old_id = worker_id_of("s-1")
     new_id = worker_id_of("s-2")
     harness = start_router(old)
-    workers = harness.router_process.router.workers
+    workers = harness.router_process.router.fleet.workers.by_id
     watch = harness.router_process.endpoint_watch
     harness.run_until(lambda: old_id in workers, "the old one is known")
     started_30_s_ago = clock.unix_ms() - 30_000.0
@@ -186,9 +186,9 @@
         members.reverse()
 
     harness.endpoint_log.send_line(endpoint_event(2, *members, complete=True))
-    harness.run_until(lambda: harness.router_process.router.ready, "the list is applied")
+    harness.run_until(lambda: harness.router_process.router.fleet.workers.ready, "the list is applied")
 
-    ready_ids = [ready.id for ready in harness.router_process.router.ready]
+    ready_ids = [ready.id for ready in harness.router_process.router.fleet.workers.ready]
     assert ready_ids == [worker_id_of("s-2")]
     assert list(harness.pool.workers) == ready_ids
 
@@ -216,7 +216,7 @@
     harness = start_router(worker)
     up_since_ms = clock.unix_ms() - started_ago_ms
     harness.endpoint_log.send_line(endpoint_event(2, worker.record(up_since_ms=up_since_ms)))
-    decided = harness.router_process.router.workers[worker.worker_id]
+    decided = harness.router_process.router.fleet.workers.by_id[worker.worker_id]
     harness.run_until(lambda: decided.started_ms is not None, "it is notified of the start")
     return harness.router_process.loop.clock.now_ms() - decided.started_ms
 
--- a/tests/net/test_event_ordering_requests.py
+++ b/tests/net/test_event_ordering_requests.py
@@ -185,7 +185,7 @@
     harness.run_until(lambda: len(first.answers) == 30 and second.answers, "all others are answered")
 
     assert set(first.answer_kinds().values()) | set(second.answer_kinds().values()) == {"exception"}
-    assert (len(harness.table.pending), len(harness.router_process.router.recent_arrivals)) == (1, 1)
+    assert (len(harness.table.pending), len(harness.router_process.router.fleet.arrivals.recent)) == (1, 1)
 
 
 def test_id_is_free_again_after_its_request_finished_or_its_client_closed(start_router):
--- a/tests/net/test_request_table.py
+++ b/tests/net/test_request_table.py
@@ -136,7 +136,7 @@
     [request] = harness.table.pending.values()
     time_left_ms = 8000.0 - hold_up_ms
     assert 0 <= request.deadline_ms - harness.router_process.loop.turn_started_ms <= time_left_ms
-    [decided] = harness.router_process.router.requests.values()
+    [decided] = harness.router_process.router.requests.by_id.values()
     assert 0 <= decided.deadline_ms - decided.arrived_ms <= time_left_ms
 
 
--- a/tests/net/test_start_order_limit.py
+++ b/tests/net/test_start_order_limit.py
@@ -28,14 +28,14 @@
     """Have the decisions count so many orders that are sent now."""
     now_ms = harness.router_process.loop.clock.now_ms()
     for _ in range(count):
-        harness.router_process.router.start_order_times.add(now_ms)
+        harness.router_process.router.start_order_limits.sent.add(now_ms)
 
 
 def order_now(harness, instances):
     """Carry out a start order that was decided on now."""
     now_ms = harness.router_process.loop.clock.now_ms()
     harness.table.begin_batch(now_ms)
-    harness.router_process.router.start_order_times.add(now_ms)
+    harness.router_process.router.start_order_limits.sent.add(now_ms)
     harness.table.ensure_instances(EnsureInstances(UNLISTED_WORKER_ID, FUNCTION, instances))
 
 
@@ -68,7 +68,7 @@
         client.cancel(seqid)
     harness.round_trip(client)
 
-    assert harness.router_process.router.recent_arrivals == {}
+    assert harness.router_process.router.fleet.arrivals.recent == {}
 
 
 def test_id_that_is_sent_again_after_each_rejection_counts_once(start_router):
@@ -80,7 +80,7 @@
         harness.run_until(lambda seqid=seqid: seqid in client.answer_kinds(), "it is rejected")
 
     assert set(client.answer_kinds().values()) == {"throttled"}
-    assert list(harness.router_process.router.recent_arrivals) == [CLIENT_ID]
+    assert list(harness.router_process.router.fleet.arrivals.recent) == [CLIENT_ID]
 
 
 @pytest.mark.parametrize(("others", "is_sent"), [(1, True), (2, False)], ids=["room", "no-room"])
@@ -97,7 +97,7 @@
     harness.run_until(lambda: worker.frames, "what is sent after it arrives")
 
     assert ("1" in ordered_instances(worker)) == is_sent
-    ordered = list(harness.router_process.router.start_order_times)
+    ordered = list(harness.router_process.router.start_order_limits.sent)
     assert len(ordered) == 2
     one_second_ago_ms = harness.router_process.loop.clock.now_ms() - 1000.0
     assert min(ordered) > one_second_ago_ms
@@ -109,7 +109,7 @@
     order_at_unconnected(harness, worker)
     harness.run_until(lambda: worker.frames, "a connection is established")
     [connection, *_] = harness.connections_to()
-    harness.router_process.router.start_order_times.clear()
+    harness.router_process.router.start_order_limits.sent.clear()
     receive = worker.receive
     worker.receive = lambda: None
     filler = fill_socket(connection)
