--- a/function_router/decisions/actions.py
+++ b/function_router/decisions/actions.py
@@ -1,4 +1,4 @@
-"""What to do: the actions that `Router.handle` returns, to be carried out in order. No logic lives here.
+"""Actions, which `Router.handle` returns, to be carried out in their order. Nothing is decided here.
 
 Durations are milliseconds.
 """
@@ -14,27 +14,30 @@
 
 
 class CancelAttempt(Struct, frozen=True):
-    """Tell the worker of an attempt that nobody waits for it any more."""
+    """Notify the worker of an attempt that nobody waits for its answer any more."""
 
     request_id: str
     attempt_number: int
 
 
 class RejectRequest(Struct, frozen=True):
-    """Give the final answer that promises the client that a retry is harmless."""
+    """Give the final answer that says that the request may be retried without harm."""
 
     request_id: str
-    retry_after_ms: float = 0.0  # how long to stay away; 0: no advice
+    retry_after_ms: float = 0.0  # how long the client should wait before that; 0: no advice
 
 
 class FailRequest(Struct, frozen=True):
-    """Give the final answer that promises nothing."""
+    """Give the final answer that says nothing about whether the request has run."""
 
     request_id: str
 
 
 class EnsureInstances(Struct, frozen=True):
-    """Order a worker to hold so many instances of a function; 0 is a probe, and only asks how many stand."""
+    """Order a worker to have at least so many instances of a function, or just ask how many it has.
+
+    With 0 instances this is a probe, otherwise a start order.
+    """
 
     worker_id: int
     function: str
--- a/function_router/decisions/events.py
+++ b/function_router/decisions/events.py
@@ -1,6 +1,6 @@
-"""What happens: the events that `Router.handle` takes. No logic lives here.
+"""Events, which `Router.handle` takes. Nothing is decided here.
 
-Times are milliseconds of the caller's clock, durations too.
+Times are milliseconds of the caller's clock, and durations are milliseconds.
 """
 
 from msgspec import Struct
@@ -9,7 +9,7 @@
 
 
 class Endpoint(Struct, frozen=True):
-    """A worker as the endpoint list has it."""
+    """A worker in the endpoint list."""
 
     worker_id: int
     state: WorkerState = WorkerState.READY
@@ -17,34 +17,34 @@
     zone: str = ""
     cell: int = 0
     size: float = 1.0
-    started_at_ms: float | None = None  # None: long past
+    started_at_ms: float | None = None  # when its process started; None: long ago
 
 
 class EndpointsChanged(Struct, frozen=True):
-    """The endpoint list, or what has changed in it."""
+    """The endpoint list was notified, or what has changed in it."""
 
     endpoints: list[Endpoint]
-    is_complete: bool  # False: changed ones only
+    is_complete: bool  # False: only the endpoints that have changed
 
 
 class RequestArrived(Struct, frozen=True):
-    """A request of a client was admitted; it is to get one final answer."""
+    """A client's request has arrived. It is owed one final answer."""
 
     request_id: str
     function: str
     class_name: str
     tenant: str
-    timeout_ms: float  # until its client stops waiting
-    concurrency: int = 1  # requests that an instance of the function serves at once
+    timeout_ms: float  # how long its client waits from now
+    concurrency: int = 1  # slots: requests that an instance serves at once
     memory_mb: float | None = None  # of an instance
-    expected_start_ms: float | None = None  # typical time that a cold start takes
-    expected_run_ms: float | None = None  # typical time that a run takes
-    client_id: str = ""  # the client's own id, where several requests may bring the same
-    age_ms: float = 0.0  # how long ago it came
+    expected_start_ms: float | None = None  # typical duration of a cold start
+    expected_run_ms: float | None = None  # typical duration of a run
+    client_id: str = ""  # the client's own id of the request; a retry by the client has the same
+    age_ms: float = 0.0  # how long ago it arrived
 
 
 class RequestCancelled(Struct, frozen=True):
-    """The client of a request waits no more: no answer is owed."""
+    """The client of a request no longer waits: no answer is owed."""
 
     request_id: str
     client_id: str = ""
@@ -58,30 +58,30 @@
     worker_id: int
     outcome: Outcome
     duration_ms: float
-    is_answered: bool  # the request has its final answer
+    is_answered: bool  # the worker's answer was passed on as the request's final one
     start_kind: StartKind = StartKind.UNKNOWN
-    in_flight: int | None = None  # requests for the function that the worker held before this one
+    in_flight: int | None = None  # requests of the function at the worker when this one arrived there
     load_report: dict[str, float] | None = None
 
 
 class InstancesReported(Struct, frozen=True):
-    """The answer to an `EnsureInstances`."""
+    """A start order or probe has ended: the worker's answer to an `EnsureInstances`, if it gave one."""
 
     worker_id: int
     function: str
     outcome: Outcome
-    instances: int  # that stand there now
+    instances: int  # of the function that the worker has now
     duration_ms: float
 
 
 class TimerFired(Struct, frozen=True):
-    """A timer that `SetTimer` set is due."""
+    """A timer is due that was set by `SetTimer`."""
 
     token: int
 
 
 class DrainStarted(Struct, frozen=True):
-    """This router ends: what is pending has its answer within so long, whatever its client would wait."""
+    """This router shuts down: pending requests get their answers within this time, if not before."""
 
     within_ms: float
 
--- a/function_router/decisions/types.py
+++ b/function_router/decisions/types.py
@@ -1,10 +1,10 @@
-"""Enumerations that events, actions and settings share. Nothing is decided here."""
+"""Enumerations that events and settings share. Nothing is decided here."""
 
 from enum import Enum, IntEnum
 
 
 class RetrySafety(Enum):
-    """What a repeat of a request of a class does; the values are those of the settings."""
+    """What happens if a request is run twice; the values are those of the configuration."""
 
     IDEMPOTENT = "idempotent"
     IDEMPOTENCY_KEY = "deduplicated"
@@ -12,7 +12,7 @@
 
 
 class DeduplicationScope(Enum):
-    """The workers that drop each other's repeats of a request with an idempotency key."""
+    """The workers among which a second run of a request with an idempotency key is suppressed."""
 
     ALL = "all"
     ZONE = "zone"
@@ -50,7 +50,7 @@
 
 
 class StartKind(IntEnum):
-    """What an answer tells of the instance that served it; UNKNOWN where it tells nothing.
+    """How the instance that served a request was found; UNKNOWN if the answer doesn't say.
 
     The values are those of the simulator's wire.
     """
