--- a/function_router/limits.py
+++ b/function_router/limits.py
@@ -1,4 +1,4 @@
-"""General limiters, which know no request, worker or setting.
+"""Limiters and a circuit breaker. They know nothing of requests, workers or settings.
 
 Times are milliseconds of the caller's clock. Nothing here reads a clock or is random.
 """
@@ -7,17 +7,17 @@
 
 
 class TokenBucket:
-    """Tokens that refill at a rate up to a capacity; both may change between two looks."""
+    """Tokens that refill at a rate up to a capacity; both may change from one call to the next."""
 
     __slots__ = ("_tokens", "_updated_at_ms")
 
     def __init__(self, now_ms: float, tokens: float) -> None:
-        """Start with so many tokens."""
+        """Start with `tokens`."""
         self._tokens = tokens
         self._updated_at_ms = now_ms
 
     def try_take(self, now_ms: float, rate_per_s: float, capacity: float) -> bool:
-        """Take one token, where a whole one is there; False where none is."""
+        """Take one token; False if there is no whole one."""
         refilled = self._tokens + rate_per_s * (now_ms - self._updated_at_ms) / 1000
         self._tokens = min(capacity, refilled)
         self._updated_at_ms = now_ms
@@ -33,25 +33,29 @@
     __slots__ = ("_decrease", "_maximum", "_minimum", "value")
 
     def __init__(self, value: float, minimum: float, maximum: float, decrease: float) -> None:
-        """Start at a value; a failure takes the part `decrease` of it."""
+        """Start at `value`; a failure lowers the limit by the part `decrease` of it."""
         self.value = value
         self._minimum = minimum
         self._maximum = maximum
         self._decrease = decrease
 
     def record(self, *, success: bool) -> None:
-        """Raise the limit by one over itself after a success, lower it after a failure."""
+        """Raise the limit by 1 / limit after a success, so by one a round; lower it after a failure."""
         value = self.value + (1 / self.value if success else -self._decrease * self.value)
         self.value = min(self._maximum, max(self._minimum, value))
 
 
 class CircuitBreaker:
-    """Opens after some failures, for longer after each trial; successes take part of the failures back."""
+    """Opens after some failures; a success takes back a part of them.
+
+    Once its time is over, requests pass as trials. Each trial doubles the time for which it is open again,
+    unless the trial succeeds and takes back enough of the failures.
+    """
 
     __slots__ = ("_failures", "_kept", "_max_open_ms", "_open_for_ms", "_open_until_ms", "_threshold")
 
     def __init__(self, threshold: float, kept: float, open_ms: float, max_open_ms: float) -> None:
-        """Open at `threshold` failures, for `open_ms` at first; a success leaves the part `kept` of them."""
+        """Open at `threshold` failures, for `open_ms` at first; a success keeps the part `kept` of them."""
         self._threshold = threshold
         self._kept = kept
         self._open_for_ms = open_ms
@@ -61,20 +65,20 @@
 
     @property
     def is_tripped(self) -> bool:
-        """Whether there are failures enough to open it."""
+        """Whether enough failures are counted to open it."""
         return self._failures >= self._threshold
 
     @property
     def is_clear(self) -> bool:
-        """Whether less than one failure is left."""
+        """Whether less than one failure is counted, so that the breaker can be dropped."""
         return self._failures < 1
 
     def is_waiting(self, now_ms: float) -> bool:
-        """Whether its time to be open has not passed, if it was ever opened."""
+        """Whether the time for which it was opened last is not over, even if successes have closed it."""
         return self._open_until_ms > now_ms
 
     def is_open(self, now_ms: float) -> bool:
-        """Whether nothing may pass now."""
+        """Whether requests are held back now."""
         return self.is_tripped and now_ms < self._open_until_ms
 
     def record_failure(self, now_ms: float) -> None:
@@ -84,11 +88,11 @@
             self._open_until_ms = max(self._open_until_ms, now_ms + self._open_for_ms)
 
     def record_success(self, *, was_failure: bool) -> None:
-        """Take back the one failure that this was held to be, or a part of all."""
+        """Take back the one failure that this success was counted as before, or else a part of all."""
         self._failures = self._failures - 1 if was_failure else self._failures * self._kept
 
     def record_trial(self, now_ms: float) -> None:
-        """Something passes to try it: unless that succeeds, it is open for twice as long."""
+        """Note that a request passes: a tripped breaker opens again at once, for twice as long."""
         if self.is_tripped:
             self._open_for_ms = min(self._max_open_ms, 2 * self._open_for_ms)
             self._open_until_ms = now_ms + self._open_for_ms
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -20,7 +20,7 @@
     assert bool(samples) == bool(values)
 
 
-def test_median_forgets_samples_older_than_the_window():
+def test_median_drops_samples_older_than_the_window():
     samples = SlidingMedian(window_ms=1000.0, max_samples=10, refresh_ms=0.0)
     samples.add(0.0, 100.0)
     samples.add(600.0, 1.0)
@@ -39,7 +39,7 @@
     assert samples.median(0.0) == 2.0
 
 
-def test_median_stands_until_it_is_refreshed():
+def test_median_is_cached_until_it_is_refreshed():
     samples = SlidingMedian(window_ms=1000.0, max_samples=10, refresh_ms=50.0)
     samples.add(0.0, 1.0)
     samples.median(0.0)
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize(("inclusive", "kept"), [(False, [2.0, 3.0]), (True, [3.0])])
-def test_sliding_window_forgets_what_is_older(inclusive, kept):
+def test_sliding_window_drops_older_entries(inclusive, kept):
     window = window_of(1.0, 2.0, 3.0)
 
     window.forget_before(2.0, inclusive=inclusive)
@@ -103,7 +103,7 @@
     assert len(window) == len(kept)
 
 
-def test_sliding_window_discards_one_of_equal_moments():
+def test_sliding_window_discards_one_of_equal_timestamps():
     window = window_of(1.0, 2.0, 2.0)
 
     window.discard(2.0)
@@ -115,7 +115,7 @@
 
 
 def arrivals_at(*times_ms):
-    arrivals = ArrivalRate(fade_ms=1000.0, burst=3)
+    arrivals = ArrivalRate(decay_ms=1000.0, burst=3)
     for time_ms in times_ms:
         arrivals.add(time_ms)
     return arrivals
@@ -124,16 +124,16 @@
 def test_arrival_rate_decays():
     arrivals = arrivals_at(0.0)
 
-    assert arrivals.rate(0.0, since_ms=0.0, min_stretch_ms=100.0) == pytest.approx(1 / 100)
-    assert arrivals.rate(1000.0, since_ms=0.0, min_stretch_ms=100.0) == pytest.approx(1 / math.e / 1000)
+    assert arrivals.rate(0.0, since_ms=0.0, min_interval_ms=100.0) == pytest.approx(1 / 100)
+    assert arrivals.rate(1000.0, since_ms=0.0, min_interval_ms=100.0) == pytest.approx(1 / math.e / 1000)
     assert arrivals.decay(1000.0) == pytest.approx(1 / math.e)
 
 
-def test_arrivals_in_a_burst_count_by_themselves():
+def test_arrivals_in_a_burst_are_rated_by_themselves():
     arrivals = arrivals_at(0.0, 10.0, 20.0)
 
-    assert arrivals.rate(20.0, since_ms=-9e9, min_stretch_ms=5.0) == 3 / 20
-    assert arrivals.rate(20.0, since_ms=-9e9, min_stretch_ms=100.0) == 3 / 100
+    assert arrivals.rate(20.0, since_ms=-9e9, min_interval_ms=5.0) == 3 / 20
+    assert arrivals.rate(20.0, since_ms=-9e9, min_interval_ms=100.0) == 3 / 100
 
 
 def test_last_arrival_is_minus_infinity_before_the_first():
