--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,12 +1,12 @@
-"""Admission: deadlines, the one final answer, tenant quotas, and the limit of requests in flight."""
+"""Admission: deadlines, requests that are given up, tenant quotas, and the limit of attempts in flight."""
 
-from helpers.decision_harness import DecisionHarness, actions_of
+from helpers.decision_harness import DecisionHarness, actions_of, one_of_many_routers
 
 from function_router.decisions.actions import FailRequest, RejectRequest, SendRequest
-from function_router.decisions.events import Endpoint, EndpointsChanged, RequestCancelled
-from function_router.decisions.types import Outcome, WorkerState
+from function_router.decisions.events import RequestCancelled
+from function_router.decisions.types import Outcome
 
-# --- deadlines and the one final answer ----------------------------------------------------
+# --- deadlines and requests that are given up ------------------------------------------------------
 
 
 def test_queued_request_is_answered_before_its_client_times_out():
@@ -20,7 +20,7 @@
     assert 400 <= answers[0].time_ms <= 480
 
 
-def test_late_request_that_was_never_sent_is_rejected_before_half_its_timeout_with_retry_after():
+def test_request_that_will_miss_its_objective_is_rejected_before_half_its_timeout_with_retry_after():
     harness = DecisionHarness(workers=0, max_retry_after_ms=900.0)
     harness.request("r1", timeout_ms=2500.0)
 
@@ -61,6 +61,19 @@
     assert [rejection.request_id for rejection in actions_of(actions, RejectRequest)] == ["r2"]
 
 
+def test_request_that_will_miss_its_objective_after_a_failed_attempt_is_rejected_before_its_deadline():
+    harness = one_of_many_routers(40)
+    [send] = harness.complete_starts(harness.request("r", timeout_ms=2500.0))
+    for worker in harness.fleet.workers.ready:  # no other worker can take it
+        worker.max_in_flight = 0.0
+
+    harness.end_attempt(send, Outcome.ERROR, is_answered=False)
+    harness.run_timer_until(2500.0)
+
+    [rejection] = harness.logged(RejectRequest)
+    assert rejection.time_ms <= 1300.0
+
+
 def test_cancelled_request_is_neither_sent_nor_answered():
     harness = DecisionHarness()
     harness.warm_up()
@@ -75,7 +88,7 @@
     assert not actions_of(actions, FailRequest)
 
 
-# --- quotas and limits ---------------------------------------------------------------------
+# --- quotas and limits -----------------------------------------------------------------------------
 
 
 def test_requests_over_quota_wait_behind_those_within():
@@ -98,16 +111,16 @@
     assert "b2" not in served[: served.index("s1")]
 
 
-def test_removed_workers_do_not_raise_the_in_flight_limit_of_the_others():
-    harness = DecisionHarness(workers=4, tenant_quotas_rps={"t": 40.0})
-    limit_before = harness.worker(1).max_in_flight
+def test_attempts_past_the_latency_objective_do_not_count_against_the_in_flight_limit():
+    harness = one_of_many_routers(100)
+    limit = harness.fleet.capacity.max_in_flight
+    for number in range(12):
+        harness.complete_starts(harness.request(f"r{number}", function=f"f{number}"))
+    in_flight_count = len(harness.router.requests.recent_attempts)
+    assert in_flight_count <= limit + 1
+    assert limit + 1 < 12
 
-    harness.feed(
-        EndpointsChanged(
-            [Endpoint(worker_id, WorkerState.REMOVED) for worker_id in (2, 3, 4)], is_complete=False
-        )
-    )
-    harness.run_timer_until(40)
+    harness.run_timer_until(harness.now_ms + 1200)
 
-    assert harness.worker(1).max_in_flight == limit_before
-    assert limit_before < 20
+    recent_attempts = harness.router.requests.recent_attempts
+    assert not any(harness.now_ms - attempt.sent_ms > 1100 for attempt in recent_attempts)
--- /dev/null
+++ b/tests/decisions/test_fleet.py
@@ -0,0 +1,52 @@
+"""The fleet: functions and workers that are forgotten."""
+
+from helpers.decision_harness import DecisionHarness, actions_of
+
+from function_router.decisions.actions import EnsureInstances, SendRequest
+from function_router.decisions.events import Endpoint, EndpointsChanged, RequestCancelled, TimerFired
+from function_router.decisions.functions import MAX_FUNCTIONS
+from function_router.decisions.types import Outcome, WorkerState
+
+
+def test_ever_new_functions_are_forgotten_but_not_those_in_use():
+    harness = DecisionHarness()
+    harness.warm_up("in-flight")
+    [send] = actions_of(harness.request("r1", "in-flight"), SendRequest)
+    harness.request("r2", "queued")
+
+    for number in range(3 * MAX_FUNCTIONS):
+        harness.now_ms += 0.01
+        for order in actions_of(harness.request(f"n{number}", f"f{number}"), EnsureInstances):
+            harness.report_instances(order.worker_id, 0, order.function, Outcome.QUEUE_FULL)
+        harness.feed(RequestCancelled(f"n{number}"))
+
+    assert len(harness.fleet.functions.by_name) <= MAX_FUNCTIONS
+    assert harness.fleet.functions.by_name.keys() >= {"in-flight", "queued"}
+    harness.end_attempt(send)  # finds its function
+
+
+def run_timer_every_second(harness, seconds):
+    for _ in range(seconds):
+        harness.now_ms += 1000
+        harness.feed(TimerFired(0))
+
+
+def test_removed_workers_and_functions_without_requests_are_forgotten():
+    harness = DecisionHarness()
+    harness.warm_up("g")
+    warm_worker = harness.warm_up()
+    [send] = actions_of(harness.request("r1"), SendRequest)
+    harness.feed(EndpointsChanged([Endpoint(warm_worker, WorkerState.REMOVED)], is_complete=False))
+
+    run_timer_every_second(harness, 100)
+    assert harness.router.requests.attempts
+    assert warm_worker in harness.fleet.workers.by_id  # as long as an attempt is in flight there
+
+    harness.end_attempt(send, Outcome.RESET)
+    run_timer_every_second(harness, 100)
+    assert not harness.router.requests.attempts
+    assert warm_worker not in harness.fleet.workers.by_id
+    assert len(harness.fleet.workers.by_id) == 3
+    assert "g" not in harness.fleet.functions.by_name
+    functions = harness.fleet.functions.by_name.values()
+    assert not [function for function in functions if warm_worker in function.pools]
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,16 +1,17 @@
-"""Health: unresponsive workers, circuit breakers, and workers in slow start."""
-
-from dataclasses import dataclass
+"""Health: silent, unresponsive and slow workers."""
 
 import pytest
-from helpers.decision_harness import DecisionHarness, actions_of, probes, start_orders
-
-from function_router.decisions.actions import Action, EnsureInstances, LogMessage, SendRequest
-from function_router.decisions.events import Endpoint, EndpointsChanged
+from helpers.decision_harness import (
+    DecisionHarness,
+    actions_of,
+    one_of_many_routers,
+    probes,
+    start_orders,
+)
+
+from function_router.decisions.actions import EnsureInstances, LogMessage, SendRequest
 from function_router.decisions.types import Outcome
 
-# --- unresponsive workers ------------------------------------------------------------------
-
 
 def test_silent_worker_is_probed_then_avoided_and_its_requests_are_retried_elsewhere():
     harness = DecisionHarness()
@@ -65,166 +66,66 @@
 def test_unresponsive_workers_are_used_when_most_of_the_workers_are():
     harness = DecisionHarness(workers=2)
     for worker_id in (1, 2):
-        harness.router.fleet.health.mark_unresponsive(harness.worker(worker_id), harness.now_ms)
+        harness.fleet.health.mark_unresponsive(harness.worker(worker_id), harness.now_ms)
 
     actions = harness.request("r1")
 
     assert actions_of(actions, EnsureInstances)
 
 
-# --- circuit breakers ----------------------------------------------------------------------
-
-
-@dataclass
-class LostAnswers:
-    """Requests whose answers don't come, from a worker that gives every other sign of life."""
-
-    harness: DecisionHarness
-    worker_id: int
-    sends: list[SendRequest]
-    actions: list[Action]  # while the answers were awaited
-
+# --- many routers ----------------------------------------------------------------------------------
 
-def lose_answers(count):
-    harness = DecisionHarness()
-    warm_worker = harness.warm_up(concurrency=count)
-    actions = []
-    for number in range(1, count + 1):
-        actions += harness.request(f"r{number}", concurrency=count)
-    sends = actions_of(actions, SendRequest)
-    assert [send.worker_id for send in sends] == [warm_worker] * count
-
-    sent_ms = harness.now_ms
-    actions_meanwhile = []
-    while harness.now_ms < sent_ms + 900:
-        actions = harness.run_timer_until(harness.now_ms + 20)
-        actions_meanwhile += actions + harness.answer_probes(actions, {warm_worker: 1})
-    return LostAnswers(harness, warm_worker, sends, actions_meanwhile)
-
-
-@pytest.fixture
-def lost_answers():
-    return lose_answers(2)
 
+def test_silent_worker_is_passed_over_before_it_is_probed():
+    harness = one_of_many_routers(40)
+    for _ in range(5):
+        harness.fleet.durations.run_times.add(0.0, 200.0)
+    [send] = harness.complete_starts(harness.request("long"))
+    worker = harness.worker(send.worker_id)
+    worker.sends.reset(harness.now_ms)
 
-def test_lost_answers_open_the_breaker_of_their_class_alone(lost_answers):
-    harness = lost_answers.harness
-    worker = harness.worker(lost_answers.worker_id)
+    actions = harness.run_timer_until(harness.now_ms + 540)
+    assert not probes(actions)
+    assert harness.fleet.placement.has_headroom(worker, harness.now_ms)
 
-    actions = harness.answer_probes(harness.request("r3", concurrency=2), {worker.id: 1})
+    actions = harness.run_timer_until(harness.now_ms + 200)  # silent for three runs
+    assert not probes(actions)
+    assert not harness.fleet.placement.has_headroom(worker, harness.now_ms)
 
-    assert not [
-        message for message in actions_of(lost_answers.actions, LogMessage) if "silent" in message.text
-    ]
-    assert worker.id not in [send.worker_id for send in actions_of(actions, SendRequest)]
-    assert not harness.router.fleet.health.is_usable(worker, "idempotent", harness.now_ms)
-    assert harness.router.fleet.health.is_usable(worker, "at-most-once", harness.now_ms)
+    actions = harness.run_timer_until(harness.now_ms + 1000)  # for eight
+    assert probes(actions)
+    assert not harness.fleet.placement.has_headroom(worker, harness.now_ms)
 
 
-def test_open_breaker_lets_one_trial_request_through(lost_answers):
-    harness = lost_answers.harness
-    worker = harness.worker(lost_answers.worker_id)
-    function = harness.function("f")
-    harness.answer_probes(harness.request("r3", concurrency=2), {worker.id: 1})
-    for send in lost_answers.sends:
-        harness.end_attempt(send, Outcome.CANCELLED, is_answered=True)
-    harness.now_ms += 2000
+def test_worker_is_not_silent_while_a_start_takes_its_time():
+    harness = one_of_many_routers(40)
+    actions = harness.answer_probes(harness.request("r", expected_start_ms=800.0))
+    orders = actions_of(actions, EnsureInstances)
 
-    trials = actions_of(harness.report_instances(worker.id, 1), SendRequest)
-    assert [(trial.request_id, trial.worker_id) for trial in trials] == [("r3", worker.id)]
-    assert not harness.router.fleet.health.is_usable(worker, function.class_name, harness.now_ms)
+    actions = harness.run_timer_until(harness.now_ms + 900)
 
-    actions = harness.request("r4", concurrency=2)
-    assert not actions_of(actions, SendRequest)
+    assert [order.instances for order in orders] == [1]
+    assert not actions_of(actions, EnsureInstances)
 
 
-@pytest.mark.parametrize("count", [2, 3])
-def test_answers_that_come_after_all_close_the_breaker(count):
-    lost_answers = lose_answers(count)
-    harness = lost_answers.harness
-    assert harness.worker(lost_answers.worker_id).breakers
+def test_full_worker_is_passed_over_for_a_while():
+    harness = one_of_many_routers(100)
+    [first_send] = harness.complete_starts(harness.request("first"))
+    full_worker = first_send.worker_id
+    harness.end_attempt(first_send)
+    harness.now_ms += 60_000.0  # requests are so rare that one worker is enough
+    [send] = harness.complete_starts(harness.request("full"))
+    assert send.worker_id == full_worker
 
-    for send in lost_answers.sends:
-        harness.end_attempt(send)
+    retries = harness.complete_starts(harness.end_attempt(send, Outcome.QUEUE_FULL, is_answered=False))
+    retries += harness.complete_starts(harness.run_timer_until(harness.now_ms + 200))
+    assert [retry.request_id for retry in retries] == ["full"]
+    assert retries[0].worker_id != full_worker
 
-    assert not harness.worker(lost_answers.worker_id).breakers
-
-
-@pytest.mark.parametrize("was_served", [True, False])
-def test_errors_open_the_breaker_unless_the_function_was_never_served(was_served):
-    harness = DecisionHarness()
-    warm_worker = harness.warm_up(concurrency=4, class_name="at-most-once")
-    worker = harness.worker(warm_worker)
-    function = harness.function("f")
-    if not was_served:
-        function.run_times.clear()
-    actions = harness.request("r1", class_name="at-most-once", concurrency=4)
-    actions += harness.request("r2", class_name="at-most-once", concurrency=4)
-    sends = actions_of(actions, SendRequest)
-
-    for send in sends:
-        harness.end_attempt(send, Outcome.ERROR, is_answered=False)
-
-    assert len(sends) == 2
-    is_usable = harness.router.fleet.health.is_usable(worker, function.class_name, harness.now_ms)
-    assert is_usable is not was_served
-
-
-def test_breaker_is_that_of_the_requests_class_and_not_of_the_functions_first_class():
-    harness = DecisionHarness(workers=1)
-    warm_worker = harness.warm_up(concurrency=4, class_name="at-most-once")
-    actions = harness.request("r1", class_name="idempotent", concurrency=4)
-    actions += harness.request("r2", class_name="idempotent", concurrency=4)
-    sends = actions_of(actions, SendRequest)
-
-    for send in sends:
-        harness.end_attempt(send, Outcome.ERROR, is_answered=True)
-
-    assert len(sends) == 2
-    assert list(harness.worker(warm_worker).breakers) == ["idempotent"]
-
-
-def test_success_counts_for_the_class_of_the_attempt_and_not_for_the_functions_newest_class():
-    harness = DecisionHarness(workers=1)
-    warm_worker = harness.warm_up(concurrency=4)
-    actions = harness.request("r1", concurrency=4) + harness.request("r2", concurrency=4)
-    failed, succeeded = actions_of(actions, SendRequest)
-    harness.end_attempt(failed, Outcome.ERROR, is_answered=True)
-    harness.request("r3", class_name="at-most-once", concurrency=4)
-    breakers = harness.worker(warm_worker).breakers
-    assert list(breakers) == ["idempotent"]
-
-    harness.end_attempt(succeeded)
-
-    assert not breakers
-
-
-# --- slow start ----------------------------------------------------------------------------
-
-
-def test_worker_in_slow_start_gets_no_more_than_its_budget_in_any_window():
-    harness = DecisionHarness(
-        workers=1,
-        slow_start_ms=10_000.0,
-        slow_start_initial=0.2,
-        overload_window_ms=1000.0,
-        overload_multiple=2.0,
-    )
-    harness.now_ms = 20_000.0
-    harness.feed(EndpointsChanged([Endpoint(1, started_at_ms=20_000.0)], is_complete=False))
-    harness.request("r")
-    harness.now_ms += 1
-    for send in actions_of(harness.report_instances(1, 16), SendRequest):
-        harness.end_attempt(send)
-
-    for number in range(200):
-        harness.now_ms += 10
-        for send in actions_of(harness.request(f"r{number}"), SendRequest):
-            harness.now_ms += 1
-            harness.end_attempt(send)
-            harness.report_instances(1, 16)
-
-    sent_ms = [entry.time_ms for entry in harness.logged(SendRequest)]
-    most_in_a_window = max(sum(start <= time < start + 1000 for time in sent_ms) for start in sent_ms)
-    # about 90 requests a second arrive at the one worker; it can take 2 x (0.2 to 0.4) of that
-    assert 1 <= most_in_a_window <= 60
+    harness.end_attempt(retries[0], attempt_number=1)
+    harness.now_ms += 700.0
+    harness.worker(full_worker).sends.reset(harness.now_ms)  # not past its share of the sends
+    sends = harness.complete_starts(harness.request("next"))
+    sends += harness.complete_starts(harness.run_timer_until(harness.now_ms + 200))
+    assert sends
+    assert sends[0].worker_id != full_worker
--- a/tests/decisions/test_many_routers_placement.py
+++ b/tests/decisions/test_placement.py
@@ -1,11 +1,9 @@
-"""Many routers: each sees a part of the requests, and their choices of workers have to add up."""
+"""Placement: the order of workers, and how the choices of many routers add up."""
 
-import sys
 from collections import Counter
 
 import pytest
 from helpers.decision_harness import (
-    MANY_ROUTERS_TENANT,
     DecisionHarness,
     actions_of,
     many_routers,
@@ -15,13 +13,17 @@
 from function_router.decisions.actions import EnsureInstances, SendRequest
 from function_router.decisions.placement import FAR_SEND_SHARE_FACTOR
 from function_router.decisions.records import Function
-from function_router.decisions.types import Outcome
 from function_router.hashing import hash64
 
-# --- the spread of requests ----------------------------------------------------------------
 
+def test_all_routers_start_a_function_at_the_same_worker():
+    assert DecisionHarness().warm_up() == DecisionHarness().warm_up()
 
-def test_hot_function_is_spread_by_routers_that_see_a_part_each():
+
+# --- many routers: how requests are distributed ----------------------------------------------------
+
+
+def test_hot_function_is_spread_over_workers_by_routers_that_see_a_part_each():
     harnesses = many_routers(100)
     sends_by_worker = Counter()
 
@@ -74,33 +76,10 @@
     assert sends_by_worker[first_worker.id] <= 60 / 20 * FAR_SEND_SHARE_FACTOR + 2
 
 
-def test_full_worker_is_passed_over_for_a_while():
-    harness = one_of_many_routers(100)
-    [first_send] = harness.complete_starts(harness.request("first"))
-    full_worker = first_send.worker_id
-    harness.end_attempt(first_send)
-    harness.now_ms += 60_000.0  # requests are so rare that one worker is enough
-    [send] = harness.complete_starts(harness.request("full"))
-    assert send.worker_id == full_worker
-
-    retries = harness.complete_starts(harness.end_attempt(send, Outcome.QUEUE_FULL, is_answered=False))
-    retries += harness.complete_starts(harness.run_timer_until(harness.now_ms + 200))
-    assert [retry.request_id for retry in retries] == ["full"]
-    assert retries[0].worker_id != full_worker
-
-    harness.end_attempt(retries[0], attempt_number=1)
-    harness.now_ms += 700.0
-    harness.worker(full_worker).sends.reset(harness.now_ms)  # not past its share of the sends
-    sends = harness.complete_starts(harness.request("next"))
-    sends += harness.complete_starts(harness.run_timer_until(harness.now_ms + 200))
-    assert sends
-    assert sends[0].worker_id != full_worker
+# --- many routers: probes --------------------------------------------------------------------------
 
 
-# --- probes --------------------------------------------------------------------------------
-
-
-def test_router_without_a_known_instance_probes_the_fit_worker_that_all_routers_probe_first():
+def test_router_without_a_known_instance_probes_the_worker_with_headroom_that_all_routers_probe_first():
     harness = one_of_many_routers(40)
     for turn in range(40):  # so many that the function spreads
         harness.now_ms += 100.0
@@ -109,7 +88,7 @@
     function = harness.function("hot")
     function.pools.clear()
     function.known_workers = None
-    placement = harness.router.fleet.placement
+    placement = harness.fleet.placement
     first_worker = next(
         worker for worker in placement.hash_order(function) if placement.has_headroom(worker, harness.now_ms)
     )
@@ -120,7 +99,7 @@
     assert [order.worker_id for order in orders] == [first_worker.id]
 
 
-def test_fit_worker_that_is_believed_warm_is_not_probed_as_other_routers_renew_its_instance():
+def test_worker_with_headroom_that_is_believed_warm_is_not_probed_as_other_routers_renew_its_instance():
     harness = one_of_many_routers(40, keep_alive_ms=8_000.0)
     first_send = harness.complete_starts(harness.request("first", concurrency=2))[0]
     harness.end_attempt(first_send)
@@ -145,7 +124,7 @@
     harness = one_of_many_routers(40)
     [first_send] = harness.complete_starts(harness.request("first", concurrency=2))
     harness.end_attempt(first_send)
-    placement = harness.router.fleet.placement
+    placement = harness.fleet.placement
     worker = harness.worker(first_send.worker_id)
     worker.sends.reset(harness.now_ms, sends_to_worker)
     placement.sends.reset(harness.now_ms, 60.0)  # a share of three
@@ -155,47 +134,3 @@
 
     assert not has_headroom
     assert bool(actions_of(actions, EnsureInstances)) is are_others_probed
-
-
-# --- the cost of an event ------------------------------------------------------------------
-
-
-def serve_one_request(harness, request_id):
-    harness.now_ms += 500.0
-    for send in harness.complete_starts(harness.request(request_id, concurrency=2)):
-        harness.now_ms += 100.0
-        harness.end_attempt(send)
-    harness.run_timer_until(harness.now_ms + 200)
-
-
-def count_calls_while_serving(workers):
-    """Function calls that a router takes to serve and to fire its timer, once it knows its workers."""
-    harness = DecisionHarness(
-        workers=workers,
-        tenant=MANY_ROUTERS_TENANT,
-        router_count=100,
-        tenant_quotas_rps={MANY_ROUTERS_TENANT: 5.0 * workers},
-    )
-    call_count = 0
-
-    def count_call(_frame, event, _arg):
-        nonlocal call_count
-        call_count += event in ("call", "c_call")
-
-    serve_one_request(harness, "r0")
-    # the sums over all workers are taken once a second, and not at each event
-    harness.router.fleet.capacity.refreshed_ms = harness.now_ms + 1e9
-    sys.setprofile(count_call)
-    try:
-        for number in range(1, 20):
-            serve_one_request(harness, f"r{number}")
-    finally:
-        sys.setprofile(None)
-    return call_count
-
-
-def test_event_costs_about_the_same_with_ten_times_as_many_workers():
-    calls_of_few_workers = count_calls_while_serving(100)
-    calls_of_many_workers = count_calls_while_serving(1000)
-
-    assert calls_of_many_workers < 1.5 * calls_of_few_workers
--- a/tests/decisions/test_scaling.py
+++ b/tests/decisions/test_scaling.py
@@ -1,13 +1,11 @@
-"""Scaling: probes, cold starts, the race of a cold start with a busy instance, and the ration of orders."""
+"""Scaling: probes, cold starts, and the race of a cold start with a busy instance."""
 
 from helpers.decision_harness import DecisionHarness, actions_of, start_orders
-from msgspec import structs
 
 from function_router.decisions.actions import EnsureInstances, SendRequest
-from function_router.decisions.events import RequestCancelled
-from function_router.decisions.types import Outcome, WorkerState
+from function_router.decisions.types import Outcome
 
-# --- probes and cold starts ----------------------------------------------------------------
+# --- probes and cold starts ------------------------------------------------------------------------
 
 
 def test_unknown_function_is_probed_then_started_once():
@@ -58,7 +56,7 @@
     assert [order.instances for order in start_orders(actions)] == [1]
 
 
-# --- the race ------------------------------------------------------------------------------
+# --- the race --------------------------------------------------------------------------------------
 
 
 def test_race_is_won_by_the_busy_instance_that_becomes_free_first():
@@ -102,82 +100,3 @@
     assert len(orders_of_third) == 1
     assert not orders_of_fourth
     assert len(orders_of_fifth) == 1
-
-
-def test_speculation_stops_after_a_long_idle_instance_and_resumes_after_a_long_wait():
-    harness = DecisionHarness()
-    warm_worker = harness.warm_up(start_ms=200)
-    [first_send] = actions_of(harness.request("r1"), SendRequest)
-    [order] = actions_of(harness.request("r2"), EnsureInstances)
-    harness.end_attempt(first_send)
-    harness.now_ms += 20
-    harness.report_instances(order.worker_id, 1)
-    harness.now_ms += 150  # the speculative instance idles for longer than the run of 100 ms
-    worker = harness.worker(order.worker_id)
-    worker.endpoint = structs.replace(worker.endpoint, state=WorkerState.DRAINING)  # and can't be used
-
-    actions = harness.request("r3")
-    queued_ms = harness.now_ms
-    assert not start_orders(actions)
-
-    actions = harness.run_timer_until(queued_ms + 190)
-    assert not start_orders(actions)  # a start takes 200 ms
-
-    harness.report_instances(warm_worker, 1)  # a sign of life
-    actions = harness.run_timer_until(queued_ms + 260)
-    assert start_orders(actions)
-
-
-# --- limits of start orders ----------------------------------------------------------------
-
-
-def test_start_orders_are_rationed_by_requests():
-    harness = DecisionHarness(
-        start_order_window_ms=5000.0, start_order_burst=2.0, start_orders_per_request=0.2
-    )
-
-    for number in range(9):
-        harness.answer_probes(harness.request(f"r{number}", function=f"f{number}"))
-    assert len(start_orders(harness.all_actions())) == 3  # 2 + 0.2 x 9
-
-    harness.answer_probes(harness.request("r9", function="f9"))
-    harness.run_timer_until(40)
-    assert len(start_orders(harness.all_actions())) == 4
-
-
-def test_cancelled_requests_allow_no_start_orders():
-    harness = DecisionHarness(
-        workers=8, start_order_window_ms=5000.0, start_order_burst=2.0, start_orders_per_request=0.3
-    )
-    for number in range(200):
-        harness.request(f"gone{number}", function="gone")
-    harness.feed(*(RequestCancelled(f"gone{number}") for number in range(200)))
-    harness.now_ms += 100.0
-    actions_before = len(harness.all_actions())
-
-    for number in range(10):
-        harness.request(f"r{number}", function=f"f{number}")
-        harness.run_timer_until(harness.now_ms + 60)
-
-    starts = start_orders(harness.all_actions()[actions_before:])
-    assert 0 < len(starts) <= 2 + 0.3 * 10
-
-
-def test_slow_starts_lower_the_limit_of_start_orders_and_timely_ones_raise_it():
-    harness = DecisionHarness()
-    initial_limit = harness.router.start_order_limits.pending_limit.value
-
-    orders = actions_of(
-        harness.answer_probes(harness.request("r1", expected_start_ms=100.0)), EnsureInstances
-    )
-    harness.now_ms += 1000
-    harness.report_instances(orders[0].worker_id, 1)
-    lowered_limit = harness.router.start_order_limits.pending_limit.value
-
-    orders = actions_of(harness.answer_probes(harness.request("r2", function="g")), EnsureInstances)
-    harness.now_ms += 200
-    harness.report_instances(orders[0].worker_id, 1, "g")
-    raised_limit = harness.router.start_order_limits.pending_limit.value
-
-    assert lowered_limit < initial_limit
-    assert raised_limit > lowered_limit
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,8 +1,21 @@
-"""Slow start at one router: what it sent before it was notified of the start counts, too."""
+"""Slow start: the budget of sends to a worker that has just started."""
 
-from helpers.decision_harness import DecisionHarness
+from collections import Counter
 
+import pytest
+from helpers.decision_harness import (
+    MANY_ROUTERS_QUOTA_RPS,
+    MANY_ROUTERS_WORKERS,
+    DecisionHarness,
+    actions_of,
+    many_routers,
+    one_of_many_routers,
+)
+
+from function_router.decisions.actions import SendRequest
 from function_router.decisions.events import Endpoint, EndpointsChanged
+from function_router.decisions.router import Router
+from function_router.decisions.types import Outcome
 
 TENANT = "t"
 QUOTA_RPS = 100.0
@@ -11,6 +24,36 @@
 OVERLOAD_MULTIPLE = 4.0
 SLOW_START_INITIAL = 0.2
 
+# --- one router ------------------------------------------------------------------------------------
+
+
+def test_worker_in_slow_start_gets_no_more_than_its_budget_in_any_window():
+    harness = DecisionHarness(
+        workers=1,
+        slow_start_ms=10_000.0,
+        slow_start_initial=0.2,
+        overload_window_ms=1000.0,
+        overload_multiple=2.0,
+    )
+    harness.now_ms = 20_000.0
+    harness.feed(EndpointsChanged([Endpoint(1, started_at_ms=20_000.0)], is_complete=False))
+    harness.request("r")
+    harness.now_ms += 1
+    for send in actions_of(harness.report_instances(1, 16), SendRequest):
+        harness.end_attempt(send)
+
+    for number in range(200):
+        harness.now_ms += 10
+        for send in actions_of(harness.request(f"r{number}"), SendRequest):
+            harness.now_ms += 1
+            harness.end_attempt(send)
+            harness.report_instances(1, 16)
+
+    sent_ms = [entry.time_ms for entry in harness.logged(SendRequest)]
+    most_in_a_window = max(sum(start <= time < start + 1000 for time in sent_ms) for start in sent_ms)
+    # about 90 requests a second arrive at the one worker; it can take 2 x (0.2 to 0.4) of that
+    assert 1 <= most_in_a_window <= 60
+
 
 def serving_harness():
     """A router that is alone and serves at half of the quota from warm instances."""
@@ -66,3 +109,120 @@
             unserved.append(seed)
 
     assert unserved == []
+
+
+# --- many routers, which keep within the budget together -------------------------------------------
+
+
+SLOW_START = {
+    "slow_start_ms": 10_000.0,
+    "slow_start_initial": 0.2,
+    "overload_window_ms": 3000.0,
+    "overload_multiple": 4.0,
+}
+
+
+def restart(workers, now_ms):
+    """The complete list of endpoints: so many workers, all of them just started."""
+    endpoints = [Endpoint(worker_id, started_at_ms=now_ms) for worker_id in range(1, workers + 1)]
+    return EndpointsChanged(endpoints, is_complete=True)
+
+
+def send_request(harness, request_id, function="f"):
+    """Let a request arrive; its sends, once all starts are complete."""
+    return harness.complete_starts(harness.request(request_id, function))
+
+
+def serve_ten_functions(harness, interval_ms):
+    for number in range(10):
+        harness.now_ms += interval_ms
+        for send in send_request(harness, f"a{number}", f"f{number}"):
+            harness.end_attempt(send)
+
+
+def most_sends_to_a_worker(worker_ids):
+    return Counter(worker_ids).most_common(1)[0][1]
+
+
+def max_sends_in_the_window(requests_per_second):
+    """What a worker takes in one window by its end at this rate, with an allowance for sampling noise."""
+    capacity_part = 0.2 + 0.8 * 0.3
+    allowed = 4.0 * capacity_part * 3.0 * requests_per_second / MANY_ROUTERS_WORKERS
+    return allowed + 2 * allowed**0.5 + 2
+
+
+def test_routers_keep_the_budget_of_a_worker_in_slow_start_together():
+    harnesses = many_routers(
+        100, slow_start_ms=10_000.0, slow_start_initial=0.2, overload_window_ms=1000.0, overload_multiple=2.0
+    )
+    sent_to = []
+
+    for harness in harnesses:
+        harness.now_ms = 20_000.0
+        harness.feed(restart(MANY_ROUTERS_WORKERS, 20_000.0))
+        for number in range(10):
+            harness.now_ms += 100.0
+            sent_to += [send.worker_id for send in send_request(harness, f"r{number}")]
+
+    # 100 routers with ten requests each in the second, over 20 workers: what a worker can be held to do
+    requests_per_worker = 100 * 10 / 20
+    assert 0 < most_sends_to_a_worker(sent_to) <= 2.0 * 0.28 * requests_per_worker
+
+
+@pytest.mark.parametrize(
+    ("requests_per_second", "workers_left"),  # at each router, whose part of the quota is 1
+    [
+        pytest.param(6, 20, id="burst"),
+        pytest.param(2, 5, id="most-workers-removed"),
+    ],
+)
+def test_neither_a_burst_nor_removed_workers_raise_the_budget_of_a_worker_in_slow_start(
+    requests_per_second, workers_left
+):
+    harnesses = many_routers(100, **SLOW_START)
+    sent_to = []
+
+    for harness in harnesses:
+        serve_ten_functions(harness, interval_ms=2000.0)
+        harness.feed(restart(workers_left, harness.now_ms))
+        for number in range(3 * requests_per_second):
+            harness.now_ms += 1000.0 / requests_per_second
+            for send in send_request(harness, f"r{number}", f"f{number % 10}"):
+                sent_to.append(send.worker_id)
+                harness.end_attempt(send)
+
+    assert 0 < most_sends_to_a_worker(sent_to) <= max_sends_in_the_window(MANY_ROUTERS_QUOTA_RPS)
+
+
+@pytest.mark.parametrize("router_count", [30, 100])
+def test_routers_that_restart_keep_the_budget_of_a_worker_in_slow_start_together(router_count):
+    sent_to = []
+
+    for index, harness in enumerate(many_routers(router_count, **SLOW_START)):
+        serve_ten_functions(harness, interval_ms=1000.0)
+        restarted_workers = restart(MANY_ROUTERS_WORKERS, harness.now_ms)
+        harness.feed(restarted_workers)
+        for number in range(9):
+            if number == 4 and index % 2:  # half of the routers lose what they know of their own sends
+                harness.router = Router(harness.router.settings, index * 31 + 7)
+                harness.feed(restarted_workers)
+            harness.now_ms += 3000.0 / 9
+            for send in send_request(harness, f"r{number}", f"f{number % 10}"):
+                sent_to.append(send.worker_id)
+                actions = harness.end_attempt(send, Outcome.ERROR, is_answered=False)
+                sent_to += [retry.worker_id for retry in harness.complete_starts(actions)]
+
+    requests_per_second = router_count * 3
+    assert 0 < most_sends_to_a_worker(sent_to) <= max_sends_in_the_window(requests_per_second)
+
+
+def test_sends_to_a_worker_are_not_kept_once_its_slow_start_is_over():
+    harness = one_of_many_routers(40, slow_start_ms=1000.0)
+    harness.feed(restart(MANY_ROUTERS_WORKERS, 1.0))
+
+    for number in range(50):
+        harness.now_ms += 2000.0
+        for send in send_request(harness, f"r{number}"):
+            harness.end_attempt(send)
+
+    assert not any(worker.slow_start_sends for worker in harness.fleet.workers.ready)
--- /dev/null
+++ b/tests/decisions/test_start_order_limits.py
@@ -0,0 +1,58 @@
+"""Limits on start orders: the rate limit by requests, and how many may be pending."""
+
+from helpers.decision_harness import DecisionHarness, actions_of, start_orders
+
+from function_router.decisions.actions import EnsureInstances
+from function_router.decisions.events import RequestCancelled
+
+
+def test_start_orders_are_limited_by_the_number_of_requests():
+    harness = DecisionHarness(
+        start_order_window_ms=5000.0, start_order_burst=2.0, start_orders_per_request=0.2
+    )
+
+    for number in range(9):
+        harness.answer_probes(harness.request(f"r{number}", function=f"f{number}"))
+    assert len(start_orders(harness.all_actions())) == 3  # 2 + 0.2 x 9
+
+    harness.answer_probes(harness.request("r9", function="f9"))
+    harness.run_timer_until(40)
+    assert len(start_orders(harness.all_actions())) == 4
+
+
+def test_cancelled_requests_allow_no_start_orders():
+    harness = DecisionHarness(
+        workers=8, start_order_window_ms=5000.0, start_order_burst=2.0, start_orders_per_request=0.3
+    )
+    for number in range(200):
+        harness.request(f"gone{number}", function="gone")
+    harness.feed(*(RequestCancelled(f"gone{number}") for number in range(200)))
+    harness.now_ms += 100.0
+    actions_before = len(harness.all_actions())
+
+    for number in range(10):
+        harness.request(f"r{number}", function=f"f{number}")
+        harness.run_timer_until(harness.now_ms + 60)
+
+    starts = start_orders(harness.all_actions()[actions_before:])
+    assert 0 < len(starts) <= 2 + 0.3 * 10
+
+
+def test_slow_starts_lower_the_limit_of_start_orders_and_timely_ones_raise_it():
+    harness = DecisionHarness()
+    initial_limit = harness.router.start_order_limits.pending_limit.value
+
+    orders = actions_of(
+        harness.answer_probes(harness.request("r1", expected_start_ms=100.0)), EnsureInstances
+    )
+    harness.now_ms += 1000
+    harness.report_instances(orders[0].worker_id, 1)
+    lowered_limit = harness.router.start_order_limits.pending_limit.value
+
+    orders = actions_of(harness.answer_probes(harness.request("r2", function="g")), EnsureInstances)
+    harness.now_ms += 200
+    harness.report_instances(orders[0].worker_id, 1, "g")
+    raised_limit = harness.router.start_order_limits.pending_limit.value
+
+    assert lowered_limit < initial_limit
+    assert raised_limit > lowered_limit
--- a/tests/helpers/decision_harness.py
+++ b/tests/helpers/decision_harness.py
@@ -166,13 +166,18 @@
         self.end_attempt(send)
         return send.worker_id
 
+    @property
+    def fleet(self):
+        """What the router knows about workers and functions."""
+        return self.router.fleet
+
     def worker(self, worker_id):
         """The router's record of a worker."""
-        return self.router.fleet.workers.by_id[worker_id]
+        return self.fleet.workers.by_id[worker_id]
 
     def function(self, name):
         """The router's record of a function."""
-        return self.router.fleet.functions.by_name[name]
+        return self.fleet.functions.by_name[name]
 
     def zone_of(self, worker_id):
         """The zone of a worker."""
