--- /dev/null
+++ b/function_router/net/connection_set.py
@@ -0,0 +1,135 @@
+"""The connections to one worker: opening them within the limits, and the choice among them."""
+
+import contextlib
+from collections.abc import Iterator
+
+from function_router.net.close_reason import CloseReason
+from function_router.net.pool_resources import PoolResources
+from function_router.net.telemetry import CLOSED, CONNECTS
+from function_router.net.worker_connection import ConnectError, WorkerConnection, WorkerConnectionOwner
+from function_router.net.worker_messages import Exchange
+
+# To one worker; those that are retired are not counted.
+MAX_CONNECTIONS = 6
+# Up to this number each exchange gets a connection of its own: a broken connection ends all exchanges on it.
+CONNECTIONS_BEFORE_SHARING = 4
+
+
+class ConnectionSet:
+    """Opens and owns the connections to one worker, and chooses among them.
+
+    A connection to an earlier process of the worker is retired: it stays until its exchanges are finished,
+    gets no new ones and doesn't count towards the limits of the worker.
+    """
+
+    __slots__ = ("_connections", "_resources")
+
+    def __init__(self, resources: PoolResources) -> None:
+        """An empty set; `resources` has the limits."""
+        self._resources = resources
+        self._connections: list[WorkerConnection] = []
+
+    def __len__(self) -> int:
+        return len(self._connections)
+
+    def __iter__(self) -> Iterator[WorkerConnection]:
+        return iter(self._connections)
+
+    # --- choosing -----------------------------------------------------------------------------
+
+    def choose(self, exchange_id: bytes) -> WorkerConnection | None:
+        """The connection to use for an exchange with this id; None if none may be used.
+
+        An idle connection that the worker has closed is closed here, too, in place of being used: what is
+        written to it is lost, but as it might have run, a request that must not run twice could not be sent
+        again.
+        """
+        while (chosen := self._least_used(exchange_id)) is not None:
+            if chosen.exchanges or not chosen.has_reached_end_of_stream():
+                return chosen
+            chosen.close(CloseReason.CLOSED_BY_PEER)
+        return None
+
+    def _least_used(self, exchange_id: bytes) -> WorkerConnection | None:
+        """The usable connection with the fewest exchanges, if possible a responsive one."""
+        max_idle_ms = self._resources.idle_limit.limit_ms
+        usable = [
+            connection
+            for connection in self._connections
+            if connection.is_connected and not connection.is_retired and connection.accepts(exchange_id)
+        ]
+        usable = [connection for connection in usable if connection.idle_ms() <= max_idle_ms]
+        candidates = [connection for connection in usable if not connection.is_unresponsive()]
+        if not candidates and len(self._current()) >= MAX_CONNECTIONS:
+            candidates = usable
+        # Of those with equally few exchanges the one used last: one that has been idle for long may soon be
+        # closed.
+        return min(
+            candidates,
+            key=lambda connection: (len(connection.exchanges), -connection.connection.last_used_ms),
+            default=None,
+        )
+
+    # --- opening ------------------------------------------------------------------------------
+
+    def open(self, owner: WorkerConnectionOwner) -> None:
+        """Open a connection, at the cost of an idle one to another worker if there are too many.
+
+        Args:
+            owner: The worker to connect to, which is notified.
+
+        Raises:
+            ConnectError: The limits allow no other connection, or connecting failed at once.
+        """
+        if len(self._current()) >= MAX_CONNECTIONS or not self._resources.budget.make_room():
+            raise ConnectError(owner, CloseReason.NO_FILE_DESCRIPTOR)
+        self._open_unchecked(owner)
+
+    def open_spare_if_needed(self, owner: WorkerConnectionOwner) -> None:
+        """Open a connection for the next exchange if that would have to share one, as far as limits allow."""
+        if self._is_each_in_use() and self._resources.budget.allows_spare_connection():
+            with contextlib.suppress(ConnectError):  # nothing needs it yet
+                self._open_unchecked(owner)
+
+    def connecting_count(self) -> int:
+        """How many connections to the present process of the worker are not established yet."""
+        return sum(not connection.is_connected for connection in self._current())
+
+    def _is_each_in_use(self) -> bool:
+        """Whether all connections are established and in use, and few enough for another one."""
+        current = self._current()
+        return len(current) < CONNECTIONS_BEFORE_SHARING and all(
+            connection.is_connected and connection.exchanges for connection in current
+        )
+
+    def _open_unchecked(self, owner: WorkerConnectionOwner) -> None:
+        resources = self._resources
+        connection = WorkerConnection(resources.loop, owner, resources.wire, resources.telemetry)
+        self._connections.append(connection)
+        resources.budget.on_opened()
+        resources.telemetry.count(CONNECTS)
+
+    def _current(self) -> list[WorkerConnection]:
+        """The connections to the present process of the worker."""
+        return [connection for connection in self._connections if not connection.is_retired]
+
+    # --- ending -------------------------------------------------------------------------------
+
+    def retire_all(self) -> None:
+        """Retire the connections, as the worker has moved, restarted or been removed."""
+        for connection in list(self._connections):
+            connection.retire()
+
+    def discard(self, connection: WorkerConnection, reason: CloseReason) -> None:
+        """Forget a connection that was closed for this reason; its exchanges have to be on it still."""
+        resources = self._resources
+        self._connections.remove(connection)
+        resources.budget.on_closed()
+        resources.telemetry.count(CLOSED, reason.name)
+        idle_ms = connection.stale_idle_ms(reason)
+        if idle_ms is not None:
+            resources.idle_limit.on_stale_connection(idle_ms)
+
+    def unwritten_exchanges(self) -> list[Exchange]:
+        """The exchanges on the connections of which nothing has been written."""
+        return [exchange for connection in self._connections for exchange in connection.unwritten()]
--- a/function_router/net/pooled_worker.py
+++ b/function_router/net/pooled_worker.py
@@ -1,88 +1,184 @@
-"""A worker of the pool: its connections, what waits for one, and the choice among them."""
+"""One worker of the pool: its endpoint, its connections, and the exchanges that are queued for one."""
 
-from dataclasses import dataclass, field
+from collections.abc import Callable
 
 from function_router.config import Address
 from function_router.decisions.types import WorkerState
 from function_router.net.close_reason import CloseReason
+from function_router.net.connect_retry import ConnectRetry
+from function_router.net.connection_set import ConnectionSet
 from function_router.net.exchange_queue import ExchangeQueue
-from function_router.net.timer_wheel import Timer
-from function_router.net.worker_connection import WorkerConnection
+from function_router.net.pool_resources import PoolResources
+from function_router.net.send_checks import check_worker
+from function_router.net.worker_connection import ConnectError, WorkerConnection
 from function_router.net.worker_messages import Exchange
 
-# To one worker, those to a process before it not counted.
-MAX_CONNECTIONS = 6
-# Up to so many, each exchange finds a connection of its own: what breaks one ends all exchanges on it.
-CONNECTIONS_BEFORE_SHARING = 4
 
-
-@dataclass(slots=True, eq=False)
 class PooledWorker:
-    """A worker by its id, never by its address alone: a new one may have the address of a removed one."""
-
-    worker_id: int
-    address: Address
-    state: WorkerState
-    started_at_ms: float
-    connections: list[WorkerConnection] = field(default_factory=list)
-    queue: ExchangeQueue = field(default_factory=ExchangeQueue)
-    connect_failing_since_ms: float | None = None  # connects fail on this machine since then
-    reconnect_timer: Timer | None = None  # set while those that wait are to be tried for again
-
-    def is_replaced_by(self, address: Address | None, started_at_ms: float) -> bool:
+    """A worker, known by its id and never by its address alone: another one may get the same address later.
+
+    It dispatches each exchange to a connection, or queues it until there is one. It is the owner of its
+    connections, which notify it when they are established and closed.
+
+    Attributes:
+        worker_id: Its id.
+        address: Where it listens.
+        state: Its state in the endpoint list.
+        connections: Its connections, also the ones to an earlier process of it.
+        queue: The exchanges that wait for a connection.
+    """
+
+    __slots__ = (
+        "_connect_retry",
+        "_on_unused",
+        "_resources",
+        "_started_at_ms",
+        "address",
+        "connections",
+        "queue",
+        "state",
+        "worker_id",
+    )
+
+    def __init__(
+        self,
+        worker_id: int,
+        address: Address,
+        state: WorkerState,
+        started_at_ms: float,
+        resources: PoolResources,
+        on_unused: Callable[[int], None],
+    ) -> None:
+        """A worker without connections.
+
+        Args:
+            worker_id: Its id.
+            address: Where it listens.
+            state: Its state in the endpoint list.
+            started_at_ms: When its process started, in Unix time; 0 if unknown.
+            resources: What it shares with other workers.
+            on_unused: Called with its id once it is removed and has no connection and no exchange left.
+        """
+        self.worker_id = worker_id
+        self.address = address
+        self.state = state
+        self.connections = ConnectionSet(resources)
+        self.queue = ExchangeQueue()
+        self._started_at_ms = started_at_ms
+        self._resources = resources
+        self._on_unused = on_unused
+        self._connect_retry = ConnectRetry(resources.loop.timers)
+
+    # --- endpoint -----------------------------------------------------------------------------
+
+    def update(self, address: Address | None, state: WorkerState, started_at_ms: float) -> None:
+        """Adopt what the endpoint list says now.
+
+        Args:
+            address: Where it listens; None: where it did before.
+            state: Its state.
+            started_at_ms: When its process started, in Unix time; 0 if unknown.
+        """
+        is_replaced = self._is_replaced_by(address, started_at_ms)
+        if is_replaced:
+            self.connections.retire_all()
+        self.address = address or self.address
+        self.state = state
+        self._started_at_ms = max(started_at_ms, self._started_at_ms)
+        if state is not WorkerState.READY:
+            self._return_unsent()
+        if is_replaced and self.queue:  # for a connection to the earlier process
+            self._connect_for_queued()
+        if state is WorkerState.REMOVED:
+            self.connections.retire_all()
+            self._report_if_unused()
+
+    def _is_replaced_by(self, address: Address | None, started_at_ms: float) -> bool:
         """Whether an endpoint record shows a new process: a new address, or a later start."""
         has_moved = address is not None and address != self.address
-        return has_moved or started_at_ms > self.started_at_ms
+        return has_moved or started_at_ms > self._started_at_ms
 
-    def choose_connection(self, exchange_id: bytes, max_idle_ms: float) -> WorkerConnection | None:
-        """The connection to use for an exchange; None where none may be used.
+    def _return_unsent(self) -> None:
+        """Finish the exchanges of which nothing was written and that may not be sent any more."""
+        for exchange in [*self.queue, *self.connections.unwritten_exchanges()]:
+            if check_worker(exchange, self.state):
+                exchange.abort(CloseReason.DRAINING)
 
-        An idle one that the worker has closed is closed here instead: what is written to it is lost, but as
-        it might have run, a request that may not run twice could not be sent again.
-        """
-        while (chosen := self._least_used_connection(exchange_id, max_idle_ms)) is not None:
-            if chosen.exchanges or not chosen.has_reached_end_of_stream():
-                return chosen
-            chosen.close(CloseReason.CLOSED_BY_PEER)
-        return None
-
-    def _least_used_connection(self, exchange_id: bytes, max_idle_ms: float) -> WorkerConnection | None:
-        usable = [
-            connection
-            for connection in self.connections
-            if connection.is_connected and not connection.is_retired and connection.accepts(exchange_id)
-        ]
-        usable = [connection for connection in usable if connection.idle_ms() <= max_idle_ms]
-        responsive = [connection for connection in usable if not connection.is_unresponsive()]
-        if not responsive and len(self.current_connections()) >= MAX_CONNECTIONS:
-            responsive = usable
-        # Of those with equally few exchanges the one used last: one that is idle for long may soon be closed.
-        return min(
-            responsive,
-            key=lambda connection: (len(connection.exchanges), -connection.connection.last_used_ms),
-            default=None,
-        )
-
-    def needs_spare_connection(self) -> bool:
-        """Whether the next exchange would share a connection, while there may be more of them."""
-        current = self.current_connections()
-        return len(current) < CONNECTIONS_BEFORE_SHARING and all(
-            connection.is_connected and connection.exchanges for connection in current
-        )
-
-    def current_connections(self) -> list[WorkerConnection]:
-        """The connections to the present process, without those kept for exchanges with one before it."""
-        return [connection for connection in self.connections if not connection.is_retired]
-
-    def connecting_count(self) -> int:
-        """How many connections to the present process are not established yet."""
-        return sum(not connection.is_connected for connection in self.current_connections())
-
-    def unwritten_exchanges(self) -> list[Exchange]:
-        """The exchanges on its connections of which it has got no byte."""
-        return [exchange for connection in self.connections for exchange in connection.unwritten()]
-
-    def retire_connections(self) -> None:
-        """Close the connections that are empty, and the others once they are."""
-        for connection in list(self.connections):
-            connection.retire()
+    def _report_if_unused(self) -> None:
+        if self.state is WorkerState.REMOVED and not self.connections and not self.queue:
+            self._on_unused(self.worker_id)
+
+    # --- exchanges ----------------------------------------------------------------------------
+
+    def dispatch(self, exchange: Exchange) -> None:
+        """Put an exchange on a connection, or queue it for one; finish it if it may not be sent."""
+        if exchange.is_done:  # aborted as a consequence of dispatching the one before
+            return
+        telemetry = self._resources.telemetry
+        if not_sent_reason := check_worker(exchange, self.state):
+            exchange.finish_unsent(not_sent_reason, telemetry)
+            return
+        connection = self.connections.choose(exchange.exchange_id)
+        if connection is None:
+            self.queue.append(exchange)
+            self._connect_for_queued()
+        elif not_sent_reason := exchange.reason_not_to_send():
+            exchange.finish_unsent(not_sent_reason, telemetry)
+        else:
+            self._start(exchange, connection)
+
+    def _start(self, exchange: Exchange, connection: WorkerConnection) -> None:
+        """Put an exchange on a connection, and open a spare one for the next if the settings want that."""
+        is_shared = connection.has_attempt_in_flight
+        connection.start(exchange)
+        if is_shared or self._resources.wire.may_preconnect:
+            self.connections.open_spare_if_needed(self)
+
+    def _dispatch_queued(self) -> None:
+        """Dispatch what is queued: a connection may have become free, or another connect may succeed."""
+        for exchange in self.queue.take_all():
+            self.dispatch(exchange)
+
+    # --- connecting ---------------------------------------------------------------------------
+
+    def _connect_for_queued(self) -> None:
+        """Open as many connections as the queued exchanges need, unless a retry will."""
+        if self._connect_retry.is_scheduled:
+            return
+        max_exchanges = self._resources.wire.max_exchanges_per_connection
+        while self.connections.connecting_count() * max_exchanges < len(self.queue):
+            try:
+                self.connections.open(self)
+            except ConnectError as error:
+                if not self.connections.connecting_count():
+                    self._on_connect_failed(error.reason)
+                return
+
+    def _on_connect_failed(self, reason: CloseReason) -> None:
+        """Retry for what is queued, or finish it if there will be no retry."""
+        if not self._connect_retry.schedule_after(reason, self._dispatch_queued):
+            for exchange in self.queue.take_all():
+                exchange.finish(reason)
+
+    # --- from the connections -----------------------------------------------------------------
+
+    def on_connection_established(self, connection: WorkerConnection) -> None:
+        """Dispatch what is queued for a connection, unless this one leads to an earlier process."""
+        if connection.is_retired:
+            connection.close(CloseReason.ENDPOINT_REPLACED)
+            return
+        self._connect_retry.on_connected()
+        self._dispatch_queued()
+
+    def on_connection_closed(self, connection: WorkerConnection, reason: CloseReason) -> None:
+        """Finish the exchanges on the connection; those of which nothing was written get another one."""
+        self.connections.discard(connection, reason)
+        for exchange in connection.take_all_exchanges():
+            if exchange.is_started:
+                exchange.finish(reason)
+            else:
+                exchange.detach()
+                self.dispatch(exchange)
+        if not connection.was_established and not self.connections.connecting_count():
+            self._on_connect_failed(reason)
+        self._report_if_unused()
--- a/function_router/net/send_checks.py
+++ b/function_router/net/send_checks.py
@@ -10,6 +10,7 @@
 
 from function_router.decisions.settings import RequestClass
 from function_router.decisions.types import RetrySafety, WorkerState
+from function_router.net.invariants import MAX_TIMEOUT_EXCESS_MS, Invariant, InvariantMonitor
 from function_router.net.not_sent_reason import NotSentReason
 from function_router.net.pending_request import PendingRequest
 from function_router.net.worker_messages import Attempt, Exchange
@@ -32,6 +33,29 @@
     return check_worker(exchange, state) or exchange.reason_not_to_send()
 
 
+def record_start_violations(
+    exchange: Exchange, state: WorkerState, written_at_ms: float, invariants: InvariantMonitor
+) -> None:
+    """Record where an exchange broke a rule when its first byte was written.
+
+    Args:
+        exchange: The exchange.
+        state: The state of its worker.
+        written_at_ms: When the byte was written, on the monotonic clock.
+        invariants: Counts and logs what was broken.
+    """
+    not_sent_reason = check_worker(exchange, state)
+    if not_sent_reason or exchange.is_done:
+        invariants.record(Invariant.STARTED_BY_THE_RULES, f"{_describe(exchange)}: {not_sent_reason}")
+    excess_ms = exchange.timeout_excess_ms(written_at_ms)
+    if excess_ms > MAX_TIMEOUT_EXCESS_MS:
+        invariants.record(Invariant.TIMEOUT_PASSED_ON, f"{_describe(exchange)}: {excess_ms:.0f} ms")
+
+
+def _describe(exchange: Exchange) -> str:
+    return f"{exchange.exchange_id.hex()} at worker {exchange.worker_id}"
+
+
 def check_request(
     request: PendingRequest,
     request_class: RequestClass | None,
--- a/tests/helpers/process_harness.py
+++ b/tests/helpers/process_harness.py
@@ -78,7 +78,7 @@
 
     def connections_to(self, worker_id=UNLISTED_WORKER_ID):
         """The router's connections to a worker."""
-        return self.pool.workers[worker_id].connections
+        return list(self.pool.workers[worker_id].connections)
 
     def only_client_connection(self):
         """The one client connection that the router has accepted."""
--- /dev/null
+++ b/tests/net/test_connect_retry.py
@@ -0,0 +1,130 @@
+"""Tests of `connect_retry`."""
+
+import errno
+import socket
+from unittest import mock
+
+import pytest
+from helpers.exchanges import attempt
+from helpers.fake_clock import FakeMonotonicClock
+from helpers.fake_worker import FakeWorker
+from helpers.process_harness import UNLISTED_WORKER_ID
+
+from function_router.decisions.types import Outcome
+from function_router.net import connect_retry
+from function_router.net.close_reason import CloseReason, outcome_of
+from function_router.net.connect_retry import MAX_RETRY_MS, RETRY_INTERVAL_MS, ConnectRetry
+from function_router.net.timer_wheel import TICK_MS, TimerWheel
+
+LOCAL_ERRORS = [errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN, errno.ENFILE]
+
+
+@pytest.fixture
+def clock(monkeypatch):
+    """The clock of the retries and their timers."""
+    clock = FakeMonotonicClock()
+    monkeypatch.setattr(connect_retry, "monotonic_ms", clock.read_ms)
+    return clock
+
+
+@pytest.fixture
+def timers(clock):
+    return TimerWheel(clock.read_ms)
+
+
+@pytest.fixture
+def retry(timers):
+    return ConnectRetry(timers)
+
+
+def pass_interval(clock, timers):
+    """Let the time until the next retry pass."""
+    clock.advance(RETRY_INTERVAL_MS + TICK_MS)
+    timers.advance()
+
+
+def ignore():
+    """A retry that does nothing."""
+
+
+# --- by itself
+
+
+def test_failure_at_the_worker_is_not_retried(retry):
+    is_retried = retry.schedule_after(CloseReason.CONNECTION_REFUSED, ignore)
+
+    assert not is_retried
+    assert not retry.is_scheduled
+
+
+@pytest.mark.parametrize("reason", [CloseReason.LOCAL_FAILURE, CloseReason.NO_FILE_DESCRIPTOR])
+def test_failure_on_this_machine_is_retried_once_after_an_interval(clock, timers, retry, reason):
+    retries = []
+    is_retried = [retry.schedule_after(reason, lambda: retries.append(clock.now_ms)) for _ in range(3)]
+    assert is_retried == [True] * 3
+    assert retry.is_scheduled
+
+    pass_interval(clock, timers)
+
+    assert len(retries) == 1
+    assert retries[0] >= RETRY_INTERVAL_MS
+    assert not retry.is_scheduled
+
+
+def test_failures_on_this_machine_are_retried_for_a_limited_time(clock, timers, retry):
+    count = 0
+
+    while retry.schedule_after(CloseReason.LOCAL_FAILURE, ignore):
+        pass_interval(clock, timers)
+        count += 1
+
+    assert clock.now_ms >= MAX_RETRY_MS
+    assert 1 < count <= MAX_RETRY_MS / RETRY_INTERVAL_MS
+    assert not retry.is_scheduled
+
+
+def test_established_connection_lets_the_limited_time_begin_again(clock, retry):
+    retry.schedule_after(CloseReason.LOCAL_FAILURE, ignore)
+    clock.advance(MAX_RETRY_MS)
+
+    retry.on_connected()
+
+    assert retry.schedule_after(CloseReason.LOCAL_FAILURE, ignore)
+
+
+# --- in a router
+
+
+def test_connect_that_fails_on_this_machine_for_a_moment_is_tried_again_while_the_exchange_waits(
+    start_router,
+):
+    worker = FakeWorker("s-9", instances=None)
+    harness = start_router()
+    harness.add_unlisted_worker(worker)
+    results = []
+    failures = list(LOCAL_ERRORS)
+    connect = socket.socket.connect_ex
+
+    def fail_at_first(sock, address):
+        return failures.pop() if failures else connect(sock, address)
+
+    with mock.patch.object(socket.socket, "connect_ex", fail_at_first):
+        harness.pool.send(attempt(UNLISTED_WORKER_ID, results))
+        harness.run_until(lambda: results or worker.requests, "it runs")
+
+    assert (failures, results, len(worker.requests)) == ([], [], 1)
+
+
+def test_connect_that_goes_on_failing_on_this_machine_proves_that_nothing_ran(start_router):
+    worker = FakeWorker("s-9", instances=None)
+    harness = start_router()
+    harness.add_unlisted_worker(worker)
+    results = []
+
+    with mock.patch.object(socket.socket, "connect_ex", return_value=errno.ENETUNREACH) as connect:
+        harness.pool.send(attempt(UNLISTED_WORKER_ID, results))
+        harness.run_until(lambda: results, "it is given up")
+
+    assert results == [(CloseReason.LOCAL_FAILURE, False)]
+    assert outcome_of(CloseReason.LOCAL_FAILURE, begun=False) is Outcome.NOT_SENT
+    assert 2 <= connect.call_count <= 12
--- /dev/null
+++ b/tests/net/test_connection_budget.py
@@ -0,0 +1,109 @@
+"""Tests of `connection_budget`."""
+
+import pytest
+from helpers.exchanges import attempt, start_order
+from helpers.fake_worker import FakeWorker
+
+from function_router.decisions.types import Outcome
+from function_router.net import router_process
+from function_router.net.close_reason import CloseReason
+from function_router.net.connection_budget import ConnectionBudget
+
+MAX_CONNECTIONS = 10
+
+
+class FakeConnection:
+    """A connection that is established, and idle for `idle` ms unless it has an exchange in flight."""
+
+    def __init__(self, idle, *, is_connected=True, is_in_use=False):
+        self.is_connected = is_connected
+        self.exchanges = {b"12345678": None} if is_in_use else {}
+        self.close_reasons = []
+        self._idle = idle
+
+    def idle_ms(self):
+        """For how long it has been idle."""
+        return self._idle
+
+    def close(self, reason):
+        """Note the reason."""
+        self.close_reasons.append(reason)
+
+
+def budget_with(count, connections=()):
+    """A budget that has counted so many connections."""
+    budget = ConnectionBudget(MAX_CONNECTIONS, lambda: list(connections))
+    for _ in range(count):
+        budget.on_opened()
+    return budget
+
+
+# --- by itself
+
+
+@pytest.mark.parametrize(("count", "is_allowed"), [(0, True), (6, True), (7, False), (10, False)])
+def test_spare_connections_leave_a_part_of_the_budget(count, is_allowed):
+    assert budget_with(count).allows_spare_connection() == is_allowed
+
+
+def test_no_connection_is_closed_while_the_budget_has_room():
+    idle = FakeConnection(idle=9.0)
+    budget = budget_with(MAX_CONNECTIONS - 1, [idle])
+
+    has_room = budget.make_room()
+
+    assert has_room
+    assert idle.close_reasons == []
+
+
+def test_connection_that_is_idle_for_longest_makes_room():
+    shorter, longest = FakeConnection(idle=5.0), FakeConnection(idle=6.0)
+    unusable = [FakeConnection(idle=8.0, is_in_use=True), FakeConnection(idle=9.0, is_connected=False)]
+    budget = budget_with(MAX_CONNECTIONS, [shorter, longest, *unusable])
+
+    has_room = budget.make_room()
+
+    assert has_room
+    assert longest.close_reasons == [CloseReason.IDLE]
+    assert all(connection.close_reasons == [] for connection in [shorter, *unusable])
+
+
+def test_budget_without_idle_connections_has_no_room_until_one_closes():
+    budget = budget_with(MAX_CONNECTIONS, [FakeConnection(idle=8.0, is_in_use=True)])
+
+    assert not budget.make_room()
+
+    budget.on_closed()
+
+    assert budget.make_room()
+
+
+# --- in a router
+
+
+def test_connections_keep_to_their_share_of_descriptors(start_router):
+    worker = FakeWorker(instances=None)
+    harness = start_router(worker, limits={"sockets": 32}, settings={"bounds": {"streams_per_conn": 1}})
+    results = []
+
+    for number in range(40):
+        harness.pool.send(attempt(worker.worker_id, results, exchange_id=b"%08d" % number))
+    harness.run_until(lambda: len(worker.requests) + len(results) == 40, "all run or end")
+
+    assert set(results) == {(CloseReason.NO_FILE_DESCRIPTOR, False)}
+    assert len(worker.connections) <= 32 * router_process.WORKER_SHARE
+
+
+def test_idle_connections_make_room_for_a_worker_that_is_sent_to(start_router):
+    harness = start_router(limits={"sockets": 32})
+    pool = harness.pool
+    workers = [FakeWorker(f"s-{number}") for number in range(20)]
+    results = []
+
+    for number, worker in enumerate(workers):
+        harness.add_unlisted_worker(worker, number)
+        pool.ensure_instances(start_order(number, results, instances=0))
+        harness.run_until(lambda number=number: len(results) > number, "it is reached")
+
+    assert {result for result, _ in results} == {Outcome.OK}
+    assert pool._resources.budget.connection_count <= 32 * router_process.WORKER_SHARE
--- a/tests/net/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -1,15 +1,13 @@
-"""Tests of `worker_connection`, and of the choice among connections in `pooled_worker`."""
+"""Tests of `worker_connection`."""
 
-import socket
 import time
 from unittest import mock
 
-from helpers.exchanges import attempt, start_order
+from helpers.exchanges import attempt
 from helpers.fake_worker import FakeWorker
-from helpers.sockets import wait_readable
 
 from function_router.decisions.types import Outcome
-from function_router.net import pooled_worker, worker_connection
+from function_router.net import connection_set
 from function_router.net.clock import monotonic_ms
 from function_router.net.close_reason import CloseReason
 from function_router.net.codecs import worker_frames
@@ -19,7 +17,6 @@
 NOT_LOADED = 2
 QUEUE_FULL = 3
 NO_FRAME = b"HTTP/1.1 200 OK\r\n\r\n"
-LINGER_ON_FOR_0_S = b"\1\0\0\0\0\0\0\0"  # closing then resets the connection
 
 
 # --- frames that are invalid, incomplete, late or duplicate
@@ -87,7 +84,7 @@
     pool = harness.pool
     worker_id = worker.worker_id
     results = []
-    with mock.patch.object(pooled_worker, "CONNECTIONS_BEFORE_SHARING", 1):
+    with mock.patch.object(connection_set, "CONNECTIONS_BEFORE_SHARING", 1):
         harness.run_attempt(worker, results)
         worker.answer(worker.requests[0], QUEUE_FULL, "")
         harness.run_until(lambda: results, "the worker's queue is full")
@@ -101,7 +98,7 @@
     assert [result for result, _ in results] == [Outcome.QUEUE_FULL, Outcome.OK]
 
 
-# --- which connection an exchange may use
+# --- ids of exchanges, and the time that they state
 
 
 def test_connection_carries_limited_exchanges_and_no_id_twice(start_router):
@@ -147,73 +144,12 @@
     )
 
 
-def start_with_two_idle_connections(start_router):
-    """A router that has sent a start order, its worker, and the results, first the one of that order."""
-    worker = FakeWorker()
-    harness = start_router(worker)
-    results = []
-    harness.pool.ensure_instances(start_order(worker.worker_id, results))
-    harness.run_until(lambda: results and len(worker.connections) == 2, "two connections are idle")
-    return harness, worker, results
-
-
-def test_connection_that_the_worker_just_closed_is_not_used(start_router):
-    harness, worker, results = start_with_two_idle_connections(start_router)
-    pool = harness.pool
-    worker_id = worker.worker_id
-    connections = list(pool.workers[worker_id].connections)
-    for peer, connection in zip(worker.connections, connections, strict=True):
-        peer.sock.shutdown(socket.SHUT_WR)
-        assert wait_readable(connection.connection._sock)
-
-    pool.send(attempt(worker_id, results))  # before the loop has read that they are closed
-    for connection in pool.workers[worker_id].connections:
-        connection.connection.flush()
-    harness.run_until(lambda: worker.requests, "it runs")
-
-    assert results == [(Outcome.OK, True)]
-
-
-def test_connection_that_went_stale_while_idle_keeps_others_as_idle_from_use(start_router):
-    harness, worker, results = start_with_two_idle_connections(start_router)
-    pool = harness.pool
-    worker_id = worker.worker_id
-    used, spare = pool.workers[worker_id].connections
-    harness.run_until(lambda: min(used.idle_ms(), spare.idle_ms()) > 100.0, "both are idle for long")
-    worker.instances = None
-    pool.ensure_instances(start_order(worker_id, results))
-    with mock.patch.object(worker_connection, "STALE_RESET_MS", 60_000.0):
-        harness.run_until(lambda: len(worker.frames) == 2, "one is used again")
-        peer_socket = worker.frames[1].connection.sock
-        peer_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ON_FOR_0_S)
-        peer_socket.close()
-        harness.run_until(lambda: len(results) == 2, "it is reset")
-    assert results[1] == (CloseReason.RESET_BY_PEER, True)
-
-    pool.send(attempt(worker_id, results))
-    harness.run_until(lambda: worker.requests, "a request runs")
-
-    assert worker.requests[0].connection not in worker.connections[:2]
-
-
-def test_unresponsive_connection_gets_nothing_new(start_router):
-    worker = FakeWorker(instances=None)
-    harness = start_router(worker)
-    results = []
-    harness.run_attempt(worker, results)
-
-    with mock.patch.object(worker_connection, "UNRESPONSIVE_AFTER_MS", -1.0):
-        harness.run_attempt(worker, results, exchange_id=b"abcdefgh")
-
-    assert worker.requests[0].connection is not worker.requests[1].connection
-
-
 def test_time_left_is_stated_as_of_the_first_byte(start_router):
     worker = FakeWorker(instances=None)
     harness = start_router(worker)
     harness.run_attempt(worker, [])
     late = attempt(worker.worker_id, [], exchange_id=b"abcdefgh", within_ms=5_000.0)
-    with mock.patch.object(pooled_worker, "CONNECTIONS_BEFORE_SHARING", 1):
+    with mock.patch.object(connection_set, "CONNECTIONS_BEFORE_SHARING", 1):
         harness.pool.send(late)
     connection = late.holder.connection
 
--- a/tests/net/test_worker_pool.py
+++ b/tests/net/test_worker_pool.py
@@ -1,9 +1,5 @@
 """Tests of `worker_pool`."""
 
-import errno
-import socket
-from unittest import mock
-
 import msgspec
 import pytest
 from helpers.configuration import endpoint_event
@@ -12,8 +8,8 @@
 from helpers.process_harness import UNLISTED_WORKER_ID
 
 from function_router.decisions.types import Outcome, WorkerState
-from function_router.net import pooled_worker, router_process
-from function_router.net.close_reason import CloseReason, outcome_of
+from function_router.net import connection_set
+from function_router.net.close_reason import CloseReason
 
 # --- workers that drain, are removed, move or restart
 
@@ -162,14 +158,14 @@
     pool = harness.pool
     results = []
     pool.update_endpoint(UNLISTED_WORKER_ID, worker.address, WorkerState.READY, 0.0)
-    for number in range(pooled_worker.MAX_CONNECTIONS):
+    for number in range(connection_set.MAX_CONNECTIONS):
         pool.send(attempt(UNLISTED_WORKER_ID, results, exchange_id=b"%08d" % number))
         harness.run_until(lambda number=number: len(worker.requests) > number, "it runs")
 
     pool.update_endpoint(UNLISTED_WORKER_ID, None, WorkerState.READY, 5.0)
     pool.send(attempt(UNLISTED_WORKER_ID, results, exchange_id=b"abcdefgh"))
     harness.run_until(
-        lambda: len(worker.requests) > pooled_worker.MAX_CONNECTIONS or results, "the next one runs"
+        lambda: len(worker.requests) > connection_set.MAX_CONNECTIONS or results, "the next one runs"
     )
 
     assert results == []
@@ -186,7 +182,10 @@
     results = []
     pool.ensure_instances(start_order(worker_id, [], instances=0))
     harness.run_until(lambda: worker.frames, "a connection is established")
-    pool.wire = msgspec.structs.replace(pool.wire, start_order_timeout_ms=500.0, connect_timeout_ms=60.0)
+    resources = pool._resources
+    resources.wire = msgspec.structs.replace(
+        resources.wire, start_order_timeout_ms=500.0, connect_timeout_ms=60.0
+    )
     pool.update_endpoint(UNLISTED_WORKER_ID, unreachable_address(), WorkerState.READY, 0.0)
 
     pool.send(attempt(worker_id, results, within_ms=500.0))
@@ -210,86 +209,3 @@
     harness.run_until(lambda: idle.connections[0].is_closed, "the idle one is closed")
 
     assert not busy.connections[0].is_closed
-
-
-# --- how many connections there are
-
-
-def test_spare_connection_that_is_charged_for_is_opened_only_once_requests_share_one(start_router):
-    worker = FakeWorker(instances=None)
-    harness = start_router(worker, settings={"costs": {"handshake": 0.08}})
-    pool = harness.pool
-    connects = []
-
-    for number in range(3):
-        pool.send(attempt(worker.worker_id, [], exchange_id=b"%08d" % number))
-        harness.run_until(lambda number=number: len(worker.requests) > number, "it runs")
-        connects.append(pool.telemetry.counters["connects"])
-
-    assert connects == [1, 2, 2]
-
-
-def test_connections_keep_to_their_share_of_descriptors(start_router):
-    worker = FakeWorker(instances=None)
-    harness = start_router(worker, limits={"sockets": 32}, settings={"bounds": {"streams_per_conn": 1}})
-    results = []
-
-    for number in range(40):
-        harness.pool.send(attempt(worker.worker_id, results, exchange_id=b"%08d" % number))
-    harness.run_until(lambda: len(worker.requests) + len(results) == 40, "all run or end")
-
-    assert set(results) == {(CloseReason.NO_FILE_DESCRIPTOR, False)}
-    assert len(worker.connections) <= 32 * router_process.WORKER_SHARE
-
-
-def test_idle_connections_make_room_for_a_worker_that_is_sent_to(start_router):
-    harness = start_router(limits={"sockets": 32})
-    pool = harness.pool
-    workers = [FakeWorker(f"s-{number}") for number in range(20)]
-    results = []
-
-    for number, worker in enumerate(workers):
-        harness.add_unlisted_worker(worker, number)
-        pool.ensure_instances(start_order(number, results, instances=0))
-        harness.run_until(lambda number=number: len(results) > number, "it is reached")
-
-    assert {result for result, _ in results} == {Outcome.OK}
-    assert pool._connection_count <= 32 * router_process.WORKER_SHARE
-
-
-LOCAL_ERRORS = [errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN, errno.ENFILE]
-
-
-def test_connect_that_fails_on_this_machine_for_a_moment_is_tried_again_while_the_exchange_waits(
-    start_router,
-):
-    worker = FakeWorker("s-9", instances=None)
-    harness = start_router()
-    harness.add_unlisted_worker(worker)
-    results = []
-    failures = list(LOCAL_ERRORS)
-    connect = socket.socket.connect_ex
-
-    def fail_at_first(sock, address):
-        return failures.pop() if failures else connect(sock, address)
-
-    with mock.patch.object(socket.socket, "connect_ex", fail_at_first):
-        harness.pool.send(attempt(UNLISTED_WORKER_ID, results))
-        harness.run_until(lambda: results or worker.requests, "it runs")
-
-    assert (failures, results, len(worker.requests)) == ([], [], 1)
-
-
-def test_connect_that_goes_on_failing_on_this_machine_proves_that_nothing_ran(start_router):
-    worker = FakeWorker("s-9", instances=None)
-    harness = start_router()
-    harness.add_unlisted_worker(worker)
-    results = []
-
-    with mock.patch.object(socket.socket, "connect_ex", return_value=errno.ENETUNREACH) as connect:
-        harness.pool.send(attempt(UNLISTED_WORKER_ID, results))
-        harness.run_until(lambda: results, "it is given up")
-
-    assert results == [(CloseReason.LOCAL_FAILURE, False)]
-    assert outcome_of(CloseReason.LOCAL_FAILURE, begun=False) is Outcome.NOT_SENT
-    assert 2 <= connect.call_count <= 12
