--- a/function_router/net/idle_limit.py
+++ b/function_router/net/idle_limit.py
@@ -1,32 +1,38 @@
 """How long a connection may have been idle and still be used."""
 
-# Of the keep-alive: a connection is closed here before the worker closes it, so that no send crosses a close.
-KEEPALIVE_PART = 0.7
-# The limit never falls below this.
+# Of the workers' keep-alive time: the router closes an idle connection before the worker does, so that
+# nothing is sent on a connection that is being closed.
+KEEPALIVE_SHARE = 0.7
+# Below this limit hardly any connection would be used twice.
 MIN_LIMIT_MS = 50.0
 # Of the idle time after which a connection turned out to be stale.
-STALE_IDLE_PART = 0.7
-# At each periodic check, four times a second.
+STALE_IDLE_SHARE = 0.7
+# At each periodic check, which is four times a second.
 GROWTH_FACTOR = 1.02
 
 
 class IdleLimit:
-    """The longest idle time after which a connection is trusted to still work, in `limit_ms`.
+    """The idle time up to which a connection is trusted to still work.
 
-    Something on the way may drop connections that were idle for far less than the keep-alive. A stale
-    connection lowers the limit below its idle time; the limit grows again while no other one shows up.
+    Something on the way, such as a firewall, may drop connections that were idle for far less than the
+    keep-alive time. A stale connection lowers the limit below its idle time; the limit grows again while no
+    other stale connection is found.
+
+    Attributes:
+        limit_ms: The limit now.
     """
 
     __slots__ = ("_max_limit_ms", "limit_ms")
 
     def __init__(self, keepalive_ms: float) -> None:
-        self._max_limit_ms = max(MIN_LIMIT_MS, KEEPALIVE_PART * keepalive_ms)
+        """Start at the highest limit; `keepalive_ms` is for how long workers keep an idle connection."""
+        self._max_limit_ms = max(MIN_LIMIT_MS, KEEPALIVE_SHARE * keepalive_ms)
         self.limit_ms = self._max_limit_ms
 
     def on_stale_connection(self, idle_ms: float) -> None:
-        """A connection that had been idle for so long was stale when it was used again."""
+        """Lower the limit after a connection that was idle for so long was stale when it was used again."""
         if idle_ms >= MIN_LIMIT_MS:
-            self.limit_ms = min(self.limit_ms, max(MIN_LIMIT_MS, STALE_IDLE_PART * idle_ms))
+            self.limit_ms = min(self.limit_ms, max(MIN_LIMIT_MS, STALE_IDLE_SHARE * idle_ms))
 
     def grow(self) -> None:
         """Raise the limit by one step; called at each periodic check."""
