--- a/function_router/net/close_reason.py
+++ b/function_router/net/close_reason.py
@@ -1,4 +1,4 @@
-"""Why a connection, or an exchange on it, ended, and the outcome that the decision module sees."""
+"""Why a connection, or an exchange on it, ended, and the outcome that is reported to the decision module."""
 
 import errno
 from dataclasses import dataclass
@@ -9,37 +9,42 @@
 
 
 class CloseReason(Enum):
-    """Why a connection, or an exchange on it, ended without a reply."""
+    """Why a connection, or an exchange on it, ended without an answer."""
 
     CONNECTION_REFUSED = auto()  # the peer's host refused the connection
-    UNREACHABLE = auto()  # connecting failed in some other way
+    UNREACHABLE = auto()  # connecting failed in another way
     CONNECT_TIMEOUT = auto()  # connecting took too long
-    NO_FILE_DESCRIPTOR = auto()  # this process has no room for another connection
-    LOCAL_FAILURE = auto()  # a system call failed for a reason that tells nothing about the peer
+    NO_FILE_DESCRIPTOR = auto()  # this process may not open another connection
+    LOCAL_FAILURE = auto()  # a system call failed for a reason that says nothing about the peer
     CLOSED_BY_PEER = auto()  # the peer closed the connection
     RESET_BY_PEER = auto()  # the connection broke
-    PROTOCOL_ERROR = auto()  # the peer sent what its protocol does not allow
-    WRITE_BUFFER_FULL = auto()  # the peer does not read, and too much is queued for it
+    PROTOCOL_ERROR = auto()  # the peer sent what its protocol doesn't allow
+    WRITE_BUFFER_FULL = auto()  # the peer doesn't read, and too much is queued for it
     READ_TIMEOUT = auto()  # nothing was received for too long
     IDLE = auto()  # closed by this router, with nothing pending on it
-    ENDPOINT_REPLACED = auto()  # closed by this router, as the worker was removed or has restarted
-    DRAINING = auto()  # the worker takes nothing new
-    NOT_SENT = auto()  # the request had ended before, or the worker is unknown
+    ENDPOINT_REPLACED = auto()  # closed by this router, as the worker was removed, moved or restarted
+    DRAINING = auto()  # the worker accepts no new work
+    NOT_SENT = auto()  # not one byte was written, for a reason that is not the connection's
     CANCELLED = auto()  # cancelled by the decision module
-    DEADLINE_EXCEEDED = auto()  # no reply in time
+    DEADLINE_EXCEEDED = auto()  # no answer in time
     SHUTDOWN = auto()  # this router stops
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedOutcomes:
-    """What the decision module is notified of when an attempt or a start order ends without a reply."""
+    """What is reported to the decision module of an attempt or start order that ended without an answer.
 
-    if_unwritten: Outcome  # not one byte of it was written, so that the worker cannot have run it
-    if_begun: Outcome  # some of it was written, so that the worker may have run it
+    Attributes:
+        if_started: Some of it was written, so that the worker may have run it.
+        if_not_started: Not one byte of it was written, so that the worker cannot have run it.
+    """
 
+    if_started: Outcome
+    if_not_started: Outcome
 
-_CLOSED_HERE = ReportedOutcomes(if_unwritten=Outcome.NOT_SENT, if_begun=Outcome.RESET)
-_FAILED_AT_PEER = ReportedOutcomes(if_unwritten=Outcome.CONNECT_FAILED, if_begun=Outcome.RESET)
+
+_CLOSED_HERE = ReportedOutcomes(if_started=Outcome.RESET, if_not_started=Outcome.NOT_SENT)
+_FAILED_AT_PEER = ReportedOutcomes(if_started=Outcome.RESET, if_not_started=Outcome.CONNECT_FAILED)
 
 OUTCOMES: dict[CloseReason, ReportedOutcomes] = {
     CloseReason.CONNECTION_REFUSED: _FAILED_AT_PEER,
@@ -56,13 +61,16 @@
     CloseReason.ENDPOINT_REPLACED: _CLOSED_HERE,
     CloseReason.DRAINING: _CLOSED_HERE,
     CloseReason.NOT_SENT: _CLOSED_HERE,
-    CloseReason.CANCELLED: ReportedOutcomes(if_unwritten=Outcome.CANCELLED, if_begun=Outcome.CANCELLED),
-    CloseReason.DEADLINE_EXCEEDED: ReportedOutcomes(if_unwritten=Outcome.NOT_SENT, if_begun=Outcome.TIMEOUT),
+    CloseReason.CANCELLED: ReportedOutcomes(if_started=Outcome.CANCELLED, if_not_started=Outcome.CANCELLED),
+    CloseReason.DEADLINE_EXCEEDED: ReportedOutcomes(
+        if_started=Outcome.TIMEOUT, if_not_started=Outcome.NOT_SENT
+    ),
     CloseReason.SHUTDOWN: _CLOSED_HERE,
 }
 
 _NO_DESCRIPTORS = frozenset({errno.EMFILE, errno.ENFILE})
-# Of connect(2) and epoll_ctl(2), where they fail at once: memory, ports, routes and rules of this machine.
+# Errors with which connect(2) and epoll_ctl(2) fail at once: memory, ports, routes and firewall rules of this
+# machine.
 _LOCAL_ERRORS = TRANSIENT_ERRORS | {
     errno.EACCES,
     errno.EADDRINUSE,
@@ -72,7 +80,7 @@
     errno.ENOSPC,
     errno.EPERM,
 }
-# The ways in which a connection that was established shows that it is broken.
+# Errors by which an established connection turns out to be broken.
 _CONNECTION_BROKEN = frozenset(
     {
         errno.ECONNABORTED,
@@ -85,14 +93,19 @@
 )
 
 
-def outcome_of(end: CloseReason, begun: bool) -> Outcome:
-    """The outcome of an attempt or start order that ended; `begun` once a byte of it was written."""
-    outcomes = OUTCOMES[end]
-    return outcomes.if_begun if begun else outcomes.if_unwritten
+def outcome_of(reason: CloseReason, *, is_started: bool) -> Outcome:
+    """The outcome of an attempt or start order that ended without an answer.
+
+    Args:
+        reason: Why it ended.
+        is_started: Whether some of it was written.
+    """
+    outcomes = OUTCOMES[reason]
+    return outcomes.if_started if is_started else outcomes.if_not_started
 
 
 def reason_of_local_error(error: OSError) -> CloseReason:
-    """The close reason of a connection that could not be made, as a call on this machine failed at once."""
+    """The close reason of a connection for which a system call on this machine failed at once."""
     if error.errno in _NO_DESCRIPTORS:
         return CloseReason.NO_FILE_DESCRIPTOR
     if error.errno in _LOCAL_ERRORS:
@@ -101,7 +114,7 @@
 
 
 def reason_of_connect_error(error: OSError) -> CloseReason:
-    """The close reason of a connect that failed on its way to the peer."""
+    """The close reason of a connect that began and then failed."""
     if error.errno == errno.ECONNREFUSED:
         return CloseReason.CONNECTION_REFUSED
     if error.errno in (errno.ECONNRESET, errno.ECONNABORTED):
--- a/function_router/net/request_table.py
+++ b/function_router/net/request_table.py
@@ -287,7 +287,7 @@
 
     def _report_of(self, attempt: Attempt, result: Result) -> _AttemptReport:
         if not isinstance(result, Answer):
-            outcome = outcome_of(result, attempt.is_started)
+            outcome = outcome_of(result, is_started=attempt.is_started)
             cause = f" ({attempt.not_sent_reason.name})" if attempt.not_sent_reason else ""
             return _AttemptReport(outcome, StartKind.UNKNOWN, None, result.name + cause)
         in_flight = self._reported_in_flight(result)
--- a/function_router/net/start_orders.py
+++ b/function_router/net/start_orders.py
@@ -88,7 +88,7 @@
             outcome = result.outcome
             instances = result.instances
         else:
-            outcome = outcome_of(result, order.is_started)
+            outcome = outcome_of(result, is_started=order.is_started)
             instances = 0
         self._add_trace_step(order.function, f"{order.worker_id}: {outcome.name} instances {instances}")
         duration_ms = monotonic_ms() - order.created_at_ms
--- a/tests/net/test_close_reason.py
+++ b/tests/net/test_close_reason.py
@@ -18,18 +18,18 @@
 
 
 @pytest.mark.parametrize("reason", CloseReason)
-def test_exchange_that_was_begun_is_never_reported_as_not_run(reason):
-    assert outcome_of(reason, begun=True) not in PROOF_OF_NOT_RUN
+def test_started_exchange_is_never_reported_as_not_run(reason):
+    assert outcome_of(reason, is_started=True) not in PROOF_OF_NOT_RUN
 
 
 @pytest.mark.parametrize("reason", [reason for reason in CloseReason if reason is not CloseReason.CANCELLED])
-def test_exchange_without_a_byte_written_is_reported_as_not_run(reason):
-    assert outcome_of(reason, begun=False) in PROOF_OF_NOT_RUN
+def test_exchange_that_was_not_started_is_reported_as_not_run(reason):
+    assert outcome_of(reason, is_started=False) in PROOF_OF_NOT_RUN
 
 
-@pytest.mark.parametrize("begun", [False, True])
-def test_cancelled_exchange_is_reported_as_cancelled(begun):
-    assert outcome_of(CloseReason.CANCELLED, begun=begun) is Outcome.CANCELLED
+@pytest.mark.parametrize("is_started", [False, True])
+def test_cancelled_exchange_is_reported_as_cancelled(is_started):
+    assert outcome_of(CloseReason.CANCELLED, is_started=is_started) is Outcome.CANCELLED
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_connect_retry.py
+++ b/tests/net/test_connect_retry.py
@@ -126,5 +126,5 @@
         harness.run_until(lambda: results, "it is given up")
 
     assert results == [(CloseReason.LOCAL_FAILURE, False)]
-    assert outcome_of(CloseReason.LOCAL_FAILURE, begun=False) is Outcome.NOT_SENT
+    assert outcome_of(CloseReason.LOCAL_FAILURE, is_started=False) is Outcome.NOT_SENT
     assert 2 <= connect.call_count <= 12
