--- a/function_router/net/codecs/worker_frames.py
+++ b/function_router/net/codecs/worker_frames.py
@@ -1,4 +1,4 @@
-"""The binary frames between routers and workers, without I/O: bytes in, frames out, and back.
+"""The codec of the binary frames between routers and workers, without I/O.
 
 A frame is a header (direction, code, length of the fields, length of the body, exchange id), the fields as
 `name=value,name=value`, the body, and a CRC-32 of fields and body. Numbers are big-endian.
@@ -11,16 +11,16 @@
 
 from function_router.errors import FunctionRouterError
 
-# The first byte of a frame: who sent it.
+# The first byte of a frame, its direction: who sent it.
 FROM_ROUTER = 128
 FROM_WORKER = 129
 
-# The second byte of a router's frame: what the worker is to do.
+# The second byte of a router's frame, its code: what the worker is to do.
 RUN = 1
 CANCEL = 2
 ENSURE_INSTANCES = 5
 
-# The second byte of a worker's frame: its answer.
+# The second byte of a worker's frame, its code: how the exchange went.
 OK = 0
 NOT_LOADED = 2
 QUEUE_FULL = 3
@@ -36,7 +36,13 @@
 IN_FLIGHT_FIELD = "company"
 START_KIND_FIELD = "res"
 
-# Far above any body that may be passed to a client: a frame that claims more is invalid.
+# The values of START_KIND_FIELD: what a request did for an instance.
+REUSED = "reused"
+STARTED = "init"
+JOINED_START = "shared_init"
+START_FAILED = "init_error"
+
+# Far above any body that may be passed to a client: a frame that states more is invalid.
 MAX_BODY_BYTES = 256 * 1024
 
 _HEADER = struct.Struct(">BBHI8s")
@@ -44,11 +50,18 @@
 
 
 class FrameError(FunctionRouterError):
-    """Bytes that are no valid frame; nothing after them can be read."""
+    """Bytes that are not a valid frame; nothing after them can be read."""
 
 
 class Frame(Struct, frozen=True):
-    """One frame; `exchange_id` is that of the exchange that it opens, cancels or answers."""
+    """One decoded frame.
+
+    Attributes:
+        code: What the worker is to do, or how the exchange went.
+        exchange_id: The exchange that it opens, cancels or answers; eight bytes.
+        fields: The fields by name.
+        body: The body; may be empty.
+    """
 
     code: int
     exchange_id: bytes
@@ -59,7 +72,7 @@
 def encode(
     code: int, exchange_id: bytes, fields: str = "", body: bytes = b"", direction: int = FROM_ROUTER
 ) -> bytes:
-    """A whole frame; `fields` are already joined as `name=value,name=value`."""
+    """Encode a frame; `fields` are already joined as `name=value,name=value`."""
     field_bytes = fields.encode()
     checksum = zlib.crc32(body, zlib.crc32(field_bytes))
     header = _HEADER.pack(direction, code, len(field_bytes), len(body), exchange_id)
@@ -67,7 +80,7 @@
 
 
 def parse_fields(data: bytes) -> dict[str, str]:
-    """The fields by name; a part without a name or without `=` is ignored."""
+    """Decode the fields, by name; a part without a name or without `=` is ignored."""
     parts = (part.partition("=") for part in data.decode("utf-8", "replace").split(",") if part)
     return {name: value for name, separator, value in parts if separator and name}
 
@@ -75,7 +88,7 @@
 def encode_run(
     exchange_id: bytes, class_name: str, function: str, timeout_ms: float, idempotency_key: str, body: bytes
 ) -> bytes:
-    """The frame that has a worker run a request; without an idempotency key where that is empty."""
+    """Encode the frame that has a worker run a request; an empty idempotency key is left out."""
     fields = (
         f"{CLASS_FIELD}={class_name},{FUNCTION_FIELD}={function},{TIMEOUT_MS_FIELD}={max(1, int(timeout_ms))}"
     )
@@ -85,42 +98,46 @@
 
 
 def encode_cancel(exchange_id: bytes) -> bytes:
-    """The frame that cancels a request; the worker doesn't answer it."""
+    """Encode the frame that cancels a request, which the worker doesn't answer."""
     return encode(CANCEL, exchange_id)
 
 
 def encode_ensure_instances(exchange_id: bytes, function: str, instances: int) -> bytes:
-    """The frame that has a worker start instances of a function up to a number; 0 only asks for the count."""
+    """Encode the frame that has a worker start instances of a function up to a number; 0 starts none.
+
+    The answer states how many instances there are.
+    """
     return encode(ENSURE_INSTANCES, exchange_id, f"{FUNCTION_FIELD}={function},{INSTANCES_FIELD}={instances}")
 
 
 class FrameReader:
-    """Splits the bytes of one connection into frames; keeps at most one that is incomplete.
+    """Splits the bytes of one connection into frames; buffers at most one incomplete frame.
 
-    `error` is set once bytes came that are no valid frame.
+    Attributes:
+        error: What was wrong with the bytes, once there were some that are not a valid frame.
     """
 
     __slots__ = ("_buffer", "_direction", "error")
 
     def __init__(self, direction: int = FROM_WORKER) -> None:
+        """Read the frames of this direction."""
         self.error: FrameError | None = None
         self._buffer = bytearray()
         self._direction = direction
 
     @property
     def has_partial_frame(self) -> bool:
-        """Whether a frame has begun and is incomplete."""
+        """Whether the last frame is incomplete."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Take bytes in; the frames that are now complete, up to an error."""
+        """Add received bytes; returns the frames that they complete, up to the first error."""
         self._buffer += data
         frames: list[Frame] = []
         start = 0
         while len(self._buffer) - start >= _HEADER.size:
-            direction, code, fields_length, body_length, exchange_id = _HEADER.unpack_from(
-                self._buffer, start
-            )
+            header = _HEADER.unpack_from(self._buffer, start)
+            direction, code, fields_length, body_length, exchange_id = header
             if direction != self._direction or body_length > MAX_BODY_BYTES:
                 self.error = FrameError(f"direction byte {direction}, body of {body_length} bytes")
                 break
--- a/function_router/net/worker_messages.py
+++ b/function_router/net/worker_messages.py
@@ -32,10 +32,10 @@
     frames.QUEUE_FULL: Outcome.QUEUE_FULL,
 }
 _START_KINDS = {
-    "reused": StartKind.WARM,
-    "init": StartKind.COLD_START,
-    "shared_init": StartKind.JOINED_COLD_START,
-    "init_error": StartKind.START_FAILED,
+    frames.REUSED: StartKind.WARM,
+    frames.STARTED: StartKind.COLD_START,
+    frames.JOINED_START: StartKind.JOINED_COLD_START,
+    frames.START_FAILED: StartKind.START_FAILED,
 }
 
 
