--- a/function_router/net/pooled_worker.py
+++ b/function_router/net/pooled_worker.py
@@ -87,7 +87,7 @@
         self._started_at_ms = max(started_at_ms, self._started_at_ms)
         if state is not WorkerState.READY:
             self._return_unsent()
-        if is_replaced and self.queue:  # for a connection to the earlier process
+        if is_replaced and self.queue:  # connections that are being established lead to the earlier process
             self._connect_for_queued()
         if state is WorkerState.REMOVED:
             self.connections.retire_all()
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -49,7 +49,7 @@
 
 
 class ConnectError(FunctionRouterError):
-    """No connection to a worker could be begun; `reason` says why."""
+    """Connecting to a worker failed at once, or the limits forbid it; `reason` says why."""
 
     def __init__(self, owner: WorkerConnectionOwner, reason: CloseReason) -> None:
         super().__init__(f"cannot connect to worker {owner.worker_id} at {owner.address}: {reason.name}")
@@ -169,9 +169,7 @@
         if not self.exchanges:
             self._activity.on_in_use()
         self.exchanges[exchange.exchange_id] = exchange
-        exchange.connection_wait_ms = monotonic_ms() - exchange.created_at_ms
-        exchange.pending_write = self.connection.write(exchange.encode())
-        exchange.holder = self
+        exchange.attach(self, self.connection.write(exchange.encode()))
         self._unstarted.append(exchange)
 
     def remove(self, exchange: Exchange) -> None:
@@ -193,10 +191,10 @@
 
     def on_exchange_finished(self) -> None:
         """Close it if it was kept only for an exchange that is finished now."""
-        if self.is_retired and not self.exchanges and self.is_connected:
-            self.close(CloseReason.ENDPOINT_REPLACED)
+        self._close_if_retired_and_empty()
 
     def _forbid_id(self, exchange_id: bytes) -> None:
+        """Accept no other exchange with this id, as an answer to this one may still come."""
         self._used_ids[exchange_id] = None
         if len(self._used_ids) > MAX_USED_IDS:
             oldest = next(iter(self._used_ids))
@@ -211,7 +209,7 @@
     def retire(self) -> None:
         """Put nothing new on it, and close it once it is empty."""
         self.is_retired = True
-        self.on_exchange_finished()
+        self._close_if_retired_and_empty()
 
     def close_if_idle(self, max_idle_ms: float) -> None:
         """Close it if it has been idle for too long, or was silent until its last exchange was removed."""
@@ -222,6 +220,10 @@
         elif self.idle_ms() > max_idle_ms:
             self.close(CloseReason.IDLE)
 
+    def _close_if_retired_and_empty(self) -> None:
+        if self.is_retired and not self.exchanges and self.is_connected:
+            self.close(CloseReason.ENDPOINT_REPLACED)
+
     # --- from the TCP connection ------------------------------------------------------------
 
     def on_connected(self) -> None:
@@ -234,7 +236,7 @@
             exchange = self.exchanges.pop(frame.exchange_id, None)
             if exchange is None:  # a late or duplicate answer
                 continue
-            if frame.code != frames.OK:  # a retry may come here, which a duplicate of this must not end
+            if frame.code != frames.OK:  # a duplicate of this answer must not end a retry under the same id
                 self._forbid_id(frame.exchange_id)
             exchange.finish(exchange.parse_answer(frame))
         if self._reader.error is not None:
--- a/function_router/net/worker_messages.py
+++ b/function_router/net/worker_messages.py
@@ -80,7 +80,7 @@
         """Take out an exchange that is about to finish without an answer."""
 
     def on_exchange_finished(self) -> None:
-        """An exchange that was here is finished, and its result delivered."""
+        """An exchange that was here has finished, and its result has been delivered."""
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
@@ -151,6 +151,12 @@
         if holder is not None:
             holder.on_exchange_finished()
 
+    def attach(self, connection: ExchangeHolder, pending_write: PendingWrite) -> None:
+        """Put it on a connection, which is about to write its bytes."""
+        self.connection_wait_ms = monotonic_ms() - self.created_at_ms
+        self.pending_write = pending_write
+        self.holder = connection
+
     def detach(self) -> None:
         """Take it off a closed connection on which nothing of it was written, to be dispatched again."""
         self.holder = None
