--- a/function_router/net/client_connection.py
+++ b/function_router/net/client_connection.py
@@ -8,9 +8,10 @@
 from function_router.net.clock import monotonic_ms
 from function_router.net.close_reason import CloseReason
 from function_router.net.codecs import thrift
-from function_router.net.connection import MAY_HOLD_DATA, Connection
+from function_router.net.connection import Connection
 from function_router.net.invariants import Invariant
 from function_router.net.pending_request import ClientRequest, Failed, FinalAnswer, Rejected, Served
+from function_router.net.sockets import MAY_HOLD_DATA
 
 if TYPE_CHECKING:
     from function_router.net.client_listener import ClientListener
@@ -108,9 +109,9 @@
         Those before it may be older, which matters after the process was held up: they are taken for as old
         as they can be.
         """
-        max_age_ms = self.connection.max_receive_delay_ms
+        max_age_ms = self.connection.reader.max_receive_delay_ms
         if is_last or max_age_ms <= HELD_UP_MS:
-            return self.connection.receive_delay_ms
+            return self.connection.reader.receive_delay_ms
         return max_age_ms
 
     def on_flushed(self) -> None:
@@ -119,7 +120,7 @@
         While it has pending requests it is read from all the same, as it may withdraw them or disconnect.
         """
         unread_bytes = self.connection.pending_bytes
-        self.connection.set_reading(unread_bytes < STOP_READING_BYTES or bool(self.pending))
+        self.connection.set_reading(enabled=unread_bytes < STOP_READING_BYTES or bool(self.pending))
         if unread_bytes > MAX_UNREAD_BYTES or (
             unread_bytes > STOP_READING_BYTES and self.listener.unread_bytes() > MAX_TOTAL_UNREAD_BYTES
         ):
--- a/function_router/net/client_listener.py
+++ b/function_router/net/client_listener.py
@@ -9,10 +9,10 @@
 from function_router.net.client_connection import ClientConnection
 from function_router.net.clock import monotonic_ms
 from function_router.net.close_reason import CloseReason
-from function_router.net.connection import address_family
 from function_router.net.event_loop import READ, EventLoop
 from function_router.net.receive_timestamps import enable_receive_timestamps
 from function_router.net.request_table import RequestTable
+from function_router.net.sockets import address_family
 from function_router.net.telemetry import ACCEPTED, CLIENTS_CLOSED, Telemetry
 from function_router.net.transient_errors import is_transient
 from function_router.net.unread_since import UnreadSince
--- /dev/null
+++ b/function_router/net/sockets.py
@@ -0,0 +1,81 @@
+"""Operations on TCP sockets that need no event loop: connecting, and peeking at what is unread."""
+
+import contextlib
+import errno
+import select
+import socket
+from enum import Enum, auto
+
+from function_router.config import Address
+from function_router.net.transient_errors import is_transient
+
+
+class Unread(Enum):
+    """What a peek at a socket finds."""
+
+    NOTHING = auto()
+    DATA = auto()
+    END = auto()  # the peer has closed, or the connection is broken
+    UNKNOWN = auto()  # the peek failed for a moment
+
+
+MAY_HOLD_DATA = (Unread.DATA, Unread.UNKNOWN)
+"""The results of a peek after which something may be unread."""
+
+
+def address_family(address: Address) -> socket.AddressFamily:
+    """The address family of a numeric address."""
+    return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+
+
+def configure_socket(sock: socket.socket) -> None:
+    """Make a socket non-blocking and, where that succeeds, have it send small messages at once."""
+    sock.setblocking(False)
+    with contextlib.suppress(OSError):  # with Nagle's algorithm, small messages only wait for an ACK
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+
+
+def begin_connect(address: Address) -> socket.socket:
+    """Create a socket that is connecting, or connected already.
+
+    Raises:
+        OSError: where connecting fails at once.
+    """
+    sock = socket.socket(address_family(address), socket.SOCK_STREAM)
+    try:
+        configure_socket(sock)
+        error_number = sock.connect_ex(address)
+    except OSError:
+        sock.close()
+        raise
+    # A connect that a signal interrupts goes on in the background.
+    if error_number not in (0, errno.EINPROGRESS, errno.EINTR):
+        sock.close()
+        raise OSError(error_number, "connect")
+    return sock
+
+
+def connect_error(sock: socket.socket) -> OSError | None:
+    """Why connecting has failed; None where the socket, which has become writable, is connected."""
+    error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+    return OSError(error_number, "connect") if error_number else None
+
+
+def peek(sock: socket.socket) -> Unread:
+    """What would be read next from a non-blocking socket; it stays unread."""
+    try:
+        return Unread.DATA if sock.recv(1, socket.MSG_PEEK) else Unread.END
+    except BlockingIOError:
+        return Unread.NOTHING
+    except OSError as error:
+        return Unread.UNKNOWN if is_transient(error) else Unread.END
+
+
+def has_peer_closed(sock: socket.socket) -> bool:
+    """Whether the peer has closed, even if bytes that it sent before are still unread."""
+    unread = peek(sock)
+    if unread is not Unread.DATA:
+        return unread is Unread.END
+    poll = select.poll()
+    poll.register(sock, select.POLLRDHUP)
+    return any(mask & select.POLLRDHUP for _, mask in poll.poll(0))
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -8,10 +8,11 @@
 from function_router.net.clock import monotonic_ms
 from function_router.net.close_reason import CloseReason
 from function_router.net.codecs import worker_frames as frames
-from function_router.net.connection import Connection, Unread
+from function_router.net.connection import Connection
 from function_router.net.connection_activity import ConnectionActivity
 from function_router.net.event_loop import EventLoop
 from function_router.net.send_checks import check_exchange, record_start_violations
+from function_router.net.sockets import Unread
 from function_router.net.telemetry import Telemetry
 from function_router.net.timer_wheel import Timer
 from function_router.net.worker_messages import Attempt, Exchange
--- a/function_router/net/write_queue.py
+++ b/function_router/net/write_queue.py
@@ -1,10 +1,11 @@
-"""The bytes that a connection still has to write, in order."""
+"""The bytes that a connection has yet to write, in order."""
 
 from collections import deque
 from dataclasses import dataclass
 from itertools import islice
 
-MAX_WRITES_PER_FLUSH = 64  # in one system call; well below the kernel's IOV_MAX of 1024
+# In one system call; well below the kernel's IOV_MAX of 1024.
+MAX_WRITES_PER_CALL = 64
 
 
 @dataclass(slots=True, eq=False)
@@ -16,15 +17,16 @@
 
 
 class WriteQueue:
-    """Writes in the order in which they were queued, of which the first may be partial.
+    """Writes in the order in which they were queued; the first one may be written in part.
 
-    `pending_bytes` is how many bytes are queued and not written yet.
+    Attributes:
+        pending_bytes: how many bytes are queued and not written yet.
     """
 
     __slots__ = ("_writes", "pending_bytes")
 
     def __init__(self) -> None:
-        """An empty queue."""
+        """Create an empty queue."""
         self._writes: deque[PendingWrite] = deque()
         self.pending_bytes = 0
 
@@ -37,7 +39,7 @@
         self.pending_bytes += len(write.data)
 
     def cancel(self, write: PendingWrite) -> bool:
-        """Take a write off the queue; False where a part of it has been written already."""
+        """Remove a write from the queue; False where a part of it has been written already."""
         if write.written or write not in self._writes:
             return False
         self._writes.remove(write)
@@ -53,14 +55,14 @@
         return True
 
     def next_buffers(self) -> list[memoryview]:
-        """What is to be written next, without copying it."""
-        first = islice(self._writes, MAX_WRITES_PER_FLUSH)
+        """What the next system call is to write, without a copy of it."""
+        first = islice(self._writes, MAX_WRITES_PER_CALL)
         return [memoryview(write.data)[write.written :] for write in first]
 
     def advance(self, count: int) -> None:
-        """Count bytes of the next buffers as written, and take the writes that are complete off the queue."""
+        """Count so many bytes of the next buffers as written, and remove the writes that are complete."""
         self.pending_bytes -= count
-        for _ in range(min(len(self._writes), MAX_WRITES_PER_FLUSH)):
+        for _ in range(min(len(self._writes), MAX_WRITES_PER_CALL)):
             write = self._writes[0]
             step = min(count, len(write.data) - write.written)
             write.written += step
--- /dev/null
+++ b/tests/net/conftest.py
@@ -0,0 +1,78 @@
+"""Fixtures of tests that run single connections on an event loop, without a router."""
+
+import socket
+import time
+
+import pytest
+from helpers.sockets import PATIENCE_S
+from helpers.tcp_connections import Peer
+
+from function_router.net.connection import Connection
+from function_router.net.event_loop import EventLoop
+from function_router.net.receive_timestamps import enable_receive_timestamps
+
+
+@pytest.fixture
+def log_lines():
+    """What the event loop has logged."""
+    return []
+
+
+@pytest.fixture
+def loop(log_lines, cleanups):
+    """An event loop without a decision module."""
+    loop = EventLoop(lambda _now_ms, _events: None, log_lines.append)
+    cleanups.callback(loop.close)
+    return loop
+
+
+@pytest.fixture
+def run_until(loop):
+    """Run turns of the loop until a condition holds; the peers receive after each turn."""
+
+    def run(condition, *peers):
+        give_up_at = time.monotonic() + PATIENCE_S
+        while not condition():
+            assert time.monotonic() < give_up_at, "timed out waiting for the condition"
+            loop.run_once(0.005)
+            for peer in peers:
+                peer.receive()
+
+    return run
+
+
+@pytest.fixture
+def listener(cleanups):
+    """A socket that listens on loopback, as that for clients does."""
+    listener = socket.socket()
+    cleanups.callback(listener.close)
+    enable_receive_timestamps(listener)
+    listener.bind(("127.0.0.1", 0))
+    listener.listen()
+    return listener
+
+
+@pytest.fixture
+def accept_socket(listener, cleanups):
+    """Make accepted sockets, each with its peer."""
+
+    def make():
+        peer = Peer(socket.create_connection(listener.getsockname()))
+        peer.sock.setblocking(False)
+        sock, _ = listener.accept()
+        cleanups.callback(sock.close)
+        cleanups.callback(peer.sock.close)
+        return sock, peer
+
+    return make
+
+
+@pytest.fixture
+def accept(loop, accept_socket):
+    """Make accepted connections, each with its peer; `wrap` replaces the socket."""
+
+    def make(handler, wrap=lambda sock: sock):
+        sock, peer = accept_socket()
+        return Connection.accepted(loop, wrap(sock), handler), peer
+
+    return make
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -13,9 +13,9 @@
 from helpers.sockets import wait_readable
 
 from function_router.decisions.actions import SendRequest
-from function_router.net import client_connection, clock, connection, router_process
-from function_router.net.connection import Unread
+from function_router.net import client_connection, clock, connection, router_process, socket_reader
 from function_router.net.event_loop import READ
+from function_router.net.sockets import Unread
 
 WITHOUT_CANCEL = {"bounds": {**SETTINGS["bounds"], "cancel": False}}
 
@@ -168,7 +168,7 @@
     client.close()
 
     with (
-        mock.patch.object(connection, "MAX_READ_BYTES", request_size),
+        mock.patch.object(socket_reader, "MAX_READ_BYTES", request_size),
         mock.patch.object(connection, "MAX_READS_PER_TURN", 1),
     ):
         read_in_one_turn(harness, served)
@@ -204,7 +204,7 @@
         served._write(b"x" * 7_000_000)
         harness.router_process.loop.run_once(0)
         harness.router_process.loop.run_once(0)
-        assert not served.connection._reading
+        assert not served.connection._is_reading
     served._write(b"x" * 9_000_000)
     harness.router_process.loop.run_once(0)
 
--- a/tests/net/test_start_order_limit.py
+++ b/tests/net/test_start_order_limit.py
@@ -53,7 +53,7 @@
 def fill_socket(connection):
     """Write until the worker, which must not read, takes no more; the last piece that was written."""
     filler = connection.connection.write(b"")
-    while not connection.connection._blocked:
+    while not connection.connection._writer.is_blocked:
         filler = connection.connection.write(worker_frames.encode_cancel(b"nobody00") * 50_000)
         connection.connection.flush()
     return filler
--- a/tests/net/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -153,7 +153,7 @@
         harness.pool.send(late)
     connection = late.holder.connection
 
-    connection._blocked = True  # the worker does not read for a while
+    connection._writer.is_blocked = True  # the worker does not read for a while
     time.sleep(0.4)
     connection._ready(WRITE)
     harness.run_until(lambda: len(worker.requests) == 2, "it runs")
--- a/tests/net/test_write_queue.py
+++ b/tests/net/test_write_queue.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from function_router.net.write_queue import MAX_WRITES_PER_FLUSH, PendingWrite, WriteQueue
+from function_router.net.write_queue import MAX_WRITES_PER_CALL, PendingWrite, WriteQueue
 
 
 @pytest.fixture
@@ -42,13 +42,13 @@
 
 
 def test_buffers_of_one_system_call_are_bounded(queue, append):
-    for _ in range(MAX_WRITES_PER_FLUSH + 1):
+    for _ in range(MAX_WRITES_PER_CALL + 1):
         append(b"x")
 
     buffers = queue.next_buffers()
     queue.advance(len(buffers))
 
-    assert len(buffers) == MAX_WRITES_PER_FLUSH
+    assert len(buffers) == MAX_WRITES_PER_CALL
     assert queue.pending_bytes == 1
 
 
