--- /dev/null
+++ b/function_router/net/attempts_in_flight.py
@@ -0,0 +1,130 @@
+"""The attempts in flight: sent to workers on behalf of requests, and reported to the decision module."""
+
+from collections.abc import Callable, Mapping
+
+from function_router.config import TransportSettings
+from function_router.decisions.events import AttemptEnded
+from function_router.decisions.settings import RequestClass
+from function_router.decisions.types import Outcome
+from function_router.net.attempt_report import AttemptReport
+from function_router.net.clock import monotonic_ms
+from function_router.net.event_loop import EventLoop
+from function_router.net.not_sent_reason import NotSentReason
+from function_router.net.pending_request import PendingRequest, Served
+from function_router.net.pending_requests import PendingRequests
+from function_router.net.send_checks import check_request
+from function_router.net.worker_messages import Answer, Attempt, Result
+from function_router.net.worker_pool import WorkerPool
+
+
+class AttemptsInFlight:
+    """Owns the attempts from when they are sent until they have a result.
+
+    Attempts of finished requests are among them: the decision module may still cancel those.
+
+    Args:
+        loop: takes the events for the decision module.
+        pool: sends the attempts.
+        wire: says what workers report.
+        classes: the request classes by name.
+        requests: the pending requests.
+        on_served: called with a request's key and its answer once a worker has served it.
+
+    Attributes:
+        by_key: the attempts by their request's key and their number, oldest first.
+    """
+
+    __slots__ = ("_classes", "_loop", "_on_served", "_pool", "_requests", "_wire", "by_key")
+
+    def __init__(
+        self,
+        loop: EventLoop,
+        pool: WorkerPool,
+        wire: TransportSettings,
+        classes: Mapping[str, RequestClass],
+        requests: PendingRequests,
+        on_served: Callable[[str, Served], None],
+    ) -> None:
+        self.by_key: dict[tuple[str, int], Attempt] = {}
+        self._loop = loop
+        self._pool = pool
+        self._wire = wire
+        self._classes = classes
+        self._requests = requests
+        self._on_served = on_served
+
+    def send(self, request: PendingRequest, number: int, worker_id: int) -> None:
+        """Send an attempt of a pending request, under its number, to a worker."""
+        attempt = self._create(request, number, worker_id)
+        self.by_key[request.key, number] = attempt
+        request.add_trace_step(f"sent to {worker_id}")
+        self._pool.send(attempt)
+
+    def cancel(self, key: str, number: int) -> None:
+        """Cancel an attempt if it is in flight."""
+        if attempt := self.by_key.get((key, number)):
+            self._pool.cancel(attempt)
+
+    def cancel_unsent(self, request: PendingRequest) -> None:
+        """Cancel the attempts of a finished request of which their workers have not received a byte.
+
+        The decision module's own cancellations do not cover these: the settings may forbid them.
+        """
+        for attempt in self._of_request(request):
+            self._pool.cancel_if_unsent(attempt)
+
+    def _create(self, request: PendingRequest, number: int, worker_id: int) -> Attempt:
+        key = request.key
+        client_request = request.client_request
+        return Attempt(
+            worker_id=worker_id,
+            on_done=lambda attempt, result: self._on_done(key, number, attempt, result),
+            reason_not_to_send=lambda: self._reason_not_to_send(key),
+            exchange_id=client_request.id,
+            class_name=client_request.class_name,
+            function=client_request.function,
+            idempotency_key=client_request.idempotency_key,
+            body=client_request.body,
+            deadline_ms=request.deadline_ms,
+        )
+
+    def _reason_not_to_send(self, key: str) -> NotSentReason | None:
+        """Why an attempt's first byte may not leave now, which may be long after it was decided on."""
+        request = self._requests.by_key.get(key)
+        if request is None:
+            return NotSentReason.REQUEST_FINISHED
+        request_class = self._classes.get(request.client_request.class_name)
+        return check_request(request, request_class, self._of_request(request), monotonic_ms())
+
+    def _of_request(self, request: PendingRequest) -> list[Attempt]:
+        keys = ((request.key, number) for number in range(request.attempt_count))
+        return [self.by_key[key] for key in keys if key in self.by_key]
+
+    def _on_done(self, key: str, number: int, attempt: Attempt, result: Result) -> None:
+        """Record and report the result of an attempt; the first one that was served answers the request."""
+        del self.by_key[key, number]
+        report = AttemptReport.from_result(attempt, result, reports_in_flight=self._wire.reports_in_flight)
+        if request := self._requests.by_key.get(key):
+            _record(request, attempt, report)
+        if isinstance(result, Answer) and report.outcome is Outcome.OK:
+            self._on_served(key, Served(result.body))
+        self._loop.submit(
+            AttemptEnded(
+                request_id=key,
+                attempt_number=number,
+                worker_id=attempt.worker_id,
+                outcome=report.outcome,
+                duration_ms=monotonic_ms() - attempt.created_at_ms,
+                is_answered=key not in self._requests.by_key,
+                start_kind=report.start_kind,
+                in_flight=report.in_flight,
+            )
+        )
+
+
+def _record(request: PendingRequest, attempt: Attempt, report: AttemptReport) -> None:
+    """Record an attempt that has ended in its request, which is still pending."""
+    wait_ms = attempt.connection_wait_ms
+    request.add_trace_step(f"{attempt.worker_id}: {report.description} connection wait {wait_ms:.0f}")
+    if attempt.is_started and report.outcome.may_have_run:
+        request.first_run_at_ms = min(request.first_run_at_ms, attempt.created_at_ms)
--- a/function_router/net/pending_request.py
+++ b/function_router/net/pending_request.py
@@ -12,7 +12,8 @@
 from function_router.net.clock import monotonic_ms
 from function_router.net.timer_wheel import Timer
 
-MAX_TRACE_STEPS = 24  # kept of one request: a log line has no room for more
+# Steps that are kept of one request: a log line holds no more.
+MAX_TRACE_STEPS = 24
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,6 +75,12 @@
     admitted_at_ms: float = field(default_factory=monotonic_ms)
     trace: list[str] = field(default_factory=list)  # what happened to it, for the log
 
+    def take_attempt_number(self) -> int:
+        """The number of the next attempt; each call counts one."""
+        number = self.attempt_count
+        self.attempt_count += 1
+        return number
+
     def add_trace_step(self, text: str) -> None:
         """Record a step with the time since admission; dropped once the trace is full."""
         if len(self.trace) < MAX_TRACE_STEPS:
--- /dev/null
+++ b/function_router/net/pending_requests.py
@@ -0,0 +1,80 @@
+"""The set of pending requests, within its limits, and the requests that finished a moment ago."""
+
+from function_router.net.pending_request import ClientRequest, PendingRequest
+
+# Bodies of all pending requests together: a part of the memory limit.
+MAX_TOTAL_BODY_BYTES = 32 * 1024 * 1024
+
+
+class PendingRequests:
+    """The requests that have no final answer yet.
+
+    Attributes:
+        by_key: the requests by key, oldest first.
+    """
+
+    __slots__ = ("_body_bytes", "_keys_by_client_id", "_max_requests", "by_key")
+
+    def __init__(self, max_requests: int) -> None:
+        self.by_key: dict[str, PendingRequest] = {}
+        self._max_requests = max_requests
+        self._body_bytes = 0
+        self._keys_by_client_id: dict[bytes, str] = {}
+
+    def has_capacity_for(self, client_request: ClientRequest) -> bool:
+        """Whether one more request with this body is within the limits."""
+        has_free_entry = len(self.by_key) < self._max_requests
+        return has_free_entry and self._body_bytes + len(client_request.body) <= MAX_TOTAL_BODY_BYTES
+
+    def add(self, request: PendingRequest) -> None:
+        """Add a request, whose key and client's id no other pending request has."""
+        client_request = request.client_request
+        self.by_key[request.key] = request
+        self._body_bytes += len(client_request.body)
+        self._keys_by_client_id[client_request.id] = request.key
+
+    def remove(self, key: str) -> PendingRequest | None:
+        """Remove and return a request; None where it is not pending."""
+        request = self.by_key.pop(key, None)
+        if request:
+            client_request = request.client_request
+            self._body_bytes -= len(client_request.body)
+            self._keys_by_client_id.pop(client_request.id, None)
+        return request
+
+    def with_client_id(self, client_request_id: bytes) -> PendingRequest | None:
+        """The request to which its client gave this id; None where there is none."""
+        key = self._keys_by_client_id.get(client_request_id)
+        return None if key is None else self.by_key[key]
+
+    def add_trace_step(self, function: str, text: str) -> None:
+        """Record a step that concerns all requests for a function, such as a start order."""
+        for request in self.by_key.values():
+            if request.client_request.function == function:
+                request.add_trace_step(text)
+
+
+class RecentlyFinishedRequests:
+    """The requests that finished since the batch of events before the last one began.
+
+    The decision module may still send an attempt of one of them, as it has not been notified of the end yet.
+    """
+
+    __slots__ = ("_in_batch", "_in_previous_batch")
+
+    def __init__(self) -> None:
+        self._in_batch: dict[str, PendingRequest] = {}
+        self._in_previous_batch: dict[str, PendingRequest] = {}
+
+    def begin_batch(self) -> None:
+        """Forget the requests that finished before the previous batch of events."""
+        self._in_previous_batch = self._in_batch
+        self._in_batch = {}
+
+    def add(self, request: PendingRequest) -> None:
+        """Add a request that has just finished."""
+        self._in_batch[request.key] = request
+
+    def get(self, key: str) -> PendingRequest | None:
+        """The request of this key; None where it is pending, or finished earlier."""
+        return self._in_batch.get(key) or self._in_previous_batch.get(key)
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -170,7 +170,7 @@
         harness.router_process.loop.run_once(0)
     harness.connect_client().send_request()
     harness.run_until(lambda: old.requests, "a request runs")
-    assert all(attempt.worker_id == new_id for attempt in harness.table._attempts.values())
+    assert all(attempt.worker_id == new_id for attempt in harness.table.attempts.by_key.values())
     assert workers[new_id].started_ms == pytest.approx(started_30_s_ago, abs=50.0)
 
 
--- a/tests/net/test_event_ordering_requests.py
+++ b/tests/net/test_event_ordering_requests.py
@@ -78,7 +78,7 @@
     harness.probe()
     frame_count = len(worker.frames)
     harness.run_until(lambda: len(worker.frames) > frame_count, "the probe arrives")
-    assert (worker.requests, harness.table.pending, harness.table._attempts) == ([], {}, {})
+    assert (worker.requests, harness.table.pending, harness.table.attempts.by_key) == ([], {}, {})
 
 
 def test_attempt_waiting_for_a_connection_is_dropped_even_if_cancel_is_forbidden(start_router):
@@ -88,7 +88,7 @@
     close_client_unread(client, client_connection)
     client_connection.connection._ready(READ)
 
-    assert harness.table._attempts == {}
+    assert harness.table.attempts.by_key == {}
     assert_no_attempt_arrives(harness, worker, worker_connection)
 
 
@@ -138,7 +138,7 @@
     harness.probe(OTHER_UNLISTED_WORKER_ID)
     harness.run_until(lambda: other.frames, "the probe arrives")
 
-    assert (other.requests, harness.table._attempts) == ([], {})
+    assert (other.requests, harness.table.attempts.by_key) == ([], {})
 
 
 def test_refused_connection_proves_that_the_attempt_did_not_run(start_router):
@@ -165,7 +165,7 @@
 
     expected = AttemptEnded(key, 0, UNLISTED_WORKER_ID, Outcome.NOT_SENT, 0.0, is_answered=True)
     assert submit.call_args_list == [mock.call(expected)]
-    assert harness.table._attempts == {}
+    assert harness.table.attempts.by_key == {}
 
 
 # --- ids of clients' requests ---------------------------------------------------------------------
@@ -224,7 +224,7 @@
     with mock.patch.object(connection, "MAX_READS_PER_TURN", 1):
         client_connection.connection._ready(READ)
 
-    assert (harness.table.pending, harness.table._keys_by_client_id) == ({}, {})
+    assert (harness.table.pending, harness.table._requests._keys_by_client_id) == ({}, {})
 
 
 # --- idempotency window ---------------------------------------------------------------------------
@@ -260,7 +260,7 @@
     harness.run_until(lambda: worker.requests, "it runs")
 
     worker.answer(worker.requests[0], code=code)
-    harness.run_until(lambda: not harness.table._attempts, "the attempt ends")
+    harness.run_until(lambda: not harness.table.attempts.by_key, "the attempt ends")
 
     assert (request.first_run_at_ms < math.inf) == opens_window
 
@@ -284,7 +284,7 @@
     harness.run_until(lambda: first.requests, "the first attempt runs")
     [second_connection] = send_pending(harness, OTHER_UNLISTED_WORKER_ID)
     assert not second_connection.is_connected
-    [started] = [each for each in harness.table._attempts.values() if each.is_started]
+    [started] = [each for each in harness.table.attempts.by_key.values() if each.is_started]
 
     started.created_at_ms -= connect_ms  # as if the second connection took that long
     harness.run_until(lambda: second_connection.is_connected, "the second worker is connected")
--- a/tests/net/test_request_table.py
+++ b/tests/net/test_request_table.py
@@ -9,7 +9,7 @@
 from helpers.fake_worker import FakeWorker
 
 from function_router.decisions.events import RequestCancelled
-from function_router.net import request_table
+from function_router.net import pending_requests, request_table
 from function_router.net.codecs import worker_frames
 
 CLIENT_REQUEST_ID = "9b1f03aa5c7e2d41"
@@ -149,7 +149,7 @@
     ):
         harness = start_router(FakeWorker(), settings={"bounds": {**SETTINGS["bounds"], **bounds}})
         client = harness.connect_client()
-        with mock.patch.object(request_table, "MAX_TOTAL_BODY_BYTES", 10):
+        with mock.patch.object(pending_requests, "MAX_TOTAL_BODY_BYTES", 10):
             client.send_request(body=b"x" * 11)
             harness.run_until(lambda client=client: client.answers, "it is rejected")
         [answer] = client.answers
@@ -163,7 +163,7 @@
     harness = start_router(FakeWorker(instances=None))
     client = harness.connect_client()
 
-    with mock.patch.object(request_table, "MAX_TOTAL_BODY_BYTES", 10):
+    with mock.patch.object(pending_requests, "MAX_TOTAL_BODY_BYTES", 10):
         for _ in range(2):
             seqid = client.send_request(body=b"x" * 10)
             harness.run_until(lambda: harness.table.pending, "it is admitted")
