--- /dev/null
+++ b/function_router/net/client_session.py
@@ -0,0 +1,172 @@
+"""The conversation with one client over Thrift: its messages, its pending requests and their answers."""
+
+import math
+from typing import Protocol
+
+from function_router.decisions.settings import RequestClass
+from function_router.net.client_request import FIELD_REQUEST_ID, ParsedRequest, parse_client_request
+from function_router.net.close_reason import CloseReason
+from function_router.net.codecs import thrift
+from function_router.net.connection import Connection
+from function_router.net.invariants import Invariant
+from function_router.net.pending_request import ClientRequest, Failed, FinalAnswer, Rejected, Served
+from function_router.net.request_table import RequestTable
+from function_router.net.telemetry import Telemetry
+
+# The log lines on clients share a rate limit of their own.
+LOG_SOURCE = "clients"
+# On one connection.
+MAX_PENDING_REQUESTS = 32
+
+
+class ClientService(Protocol):
+    """What the sessions of all clients share.
+
+    Attributes:
+        table: admits the requests.
+        telemetry: the log, the counters and the run-time checks.
+        classes: the request classes by name.
+        tenants: names of the tenants that may send requests; empty where any may.
+        is_ready: the answer to status requests.
+    """
+
+    table: RequestTable
+    telemetry: Telemetry
+    classes: dict[str, RequestClass]
+    tenants: frozenset[str]
+    is_ready: bool
+
+
+class ClientSession:
+    """Handles the messages of one client, and answers each of its requests once.
+
+    Attributes:
+        pending: keys of the pending requests in the request table, by sequence number.
+    """
+
+    __slots__ = ("_connection", "_service", "pending")
+
+    def __init__(self, service: ClientService, connection: Connection) -> None:
+        """Begin a session without requests; answers are written to the connection."""
+        self.pending: dict[int, str] = {}
+        self._service = service
+        self._connection = connection
+
+    def on_message(self, message: thrift.Message | thrift.MalformedMessageError, age_ms: float) -> None:
+        """Handle a message that was unread for `age_ms`, or the error of one that could not be read."""
+        if isinstance(message, thrift.MalformedMessageError):
+            self._on_malformed_message(message)
+        elif isinstance(message, thrift.Handle):
+            self._on_handle(message, age_ms)
+        elif isinstance(message, thrift.Withdraw):
+            self._on_withdraw(message)
+        else:
+            is_ready = self._service.is_ready
+            self._connection.write(
+                thrift.encode_reply(thrift.METHOD_STATUS, message.seqid, b"", is_ok=is_ready)
+            )
+
+    def finish(self, reason: CloseReason) -> None:
+        """Fail the pending requests, so that each has its answer, and close once all is written."""
+        for seqid, key in list(self.pending.items()):
+            self._service.table.cancel_request(key)
+            self._reply(seqid, Failed())
+        self._connection.close_after_flush(reason)
+
+    def cancel_pending(self) -> None:
+        """Cancel the pending requests without an answer: the client is gone."""
+        keys = list(self.pending.values())
+        self.pending = {}
+        for key in keys:
+            self._service.table.cancel_request(key)
+
+    # --- messages -----------------------------------------------------------------------------
+
+    def _on_malformed_message(self, error: thrift.MalformedMessageError) -> None:
+        self._service.telemetry.log(f"client: {error}", LOG_SOURCE)
+        # Under the sequence number of a pending request the exception would pass for that request's answer.
+        if error.seqid is None or error.seqid in self.pending:
+            self.finish(CloseReason.PROTOCOL_ERROR)
+        else:
+            self._connection.write(thrift.encode_application_exception(error))
+
+    def _on_withdraw(self, message: thrift.Withdraw) -> None:
+        key = self.pending.pop(message.seqid, None)
+        if key is not None:
+            self._service.table.cancel_request(key)
+
+    def _on_handle(self, message: thrift.Handle, age_ms: float) -> None:
+        try:
+            parsed = self._parse_request(message)
+        except thrift.MalformedMessageError as error:
+            error.seqid = message.seqid
+            self._on_malformed_message(error)
+            return
+        # The check for another request of the same id may have found that this very client is gone.
+        if self._connection.is_closed:
+            return
+        admitted = self._service.table.admit(self._client_request(message.seqid, parsed, age_ms))
+        if isinstance(admitted, Rejected):
+            self._connection.write(encode_answer(message.seqid, admitted))
+        else:
+            self.pending[message.seqid] = admitted
+
+    def _parse_request(self, message: thrift.Handle) -> ParsedRequest:
+        """Parse a request and check it against the pending ones.
+
+        Raises:
+            MalformedMessageError: where the request can't be admitted as it is.
+        """
+        if message.seqid in self.pending:
+            reason = "a second request under an open number"
+            raise thrift.MalformedMessageError(reason)
+        if len(self.pending) >= MAX_PENDING_REQUESTS:
+            reason = "too many open requests"
+            raise thrift.MalformedMessageError(reason)
+        parsed = parse_client_request(message, self._service.classes, self._service.tenants)
+        # Clients take a new id for each request, also for one that they send again.
+        if self._service.table.is_pending(parsed.request_id):
+            reason = f"{FIELD_REQUEST_ID}: the id of an open request"
+            raise thrift.MalformedMessageError(reason)
+        return parsed
+
+    def _client_request(self, seqid: int, parsed: ParsedRequest, age_ms: float) -> ClientRequest:
+        return ClientRequest(
+            id=parsed.request_id,
+            class_name=parsed.class_name,
+            tenant=parsed.tenant,
+            function=parsed.function,
+            timeout_ms=max(0.0, parsed.timeout_ms - age_ms),
+            body=parsed.body,
+            idempotency_key=parsed.idempotency_key,
+            concurrency=parsed.concurrency,
+            memory_mb=parsed.memory_mb,
+            expected_start_ms=parsed.expected_start_ms,
+            reply=lambda answer: self._reply(seqid, answer),
+            age_ms=age_ms,
+            is_client_connected=self._is_client_connected,
+        )
+
+    # --- answers ------------------------------------------------------------------------------
+
+    def _is_client_connected(self) -> bool:
+        """Whether the client still waits; its disconnect may have arrived and not have been read yet."""
+        if self._connection.has_peer_closed():
+            self._connection.close(CloseReason.CLOSED_BY_PEER)
+        return not self._connection.is_closed
+
+    def _reply(self, seqid: int, answer: FinalAnswer) -> None:
+        if self.pending.pop(seqid, None) is None:
+            detail = f"a second one under number {seqid}"
+            self._service.telemetry.invariants.record(Invariant.ONE_ANSWER, detail)
+            return
+        self._connection.write(encode_answer(seqid, answer))
+
+
+def encode_answer(seqid: int, answer: FinalAnswer) -> bytes:
+    """The message that answers the request with this sequence number."""
+    if isinstance(answer, Served):
+        return thrift.encode_reply(thrift.METHOD_HANDLE, seqid, answer.body, is_ok=True)
+    if isinstance(answer, Rejected):
+        return thrift.encode_throttled(seqid, math.ceil(max(0.0, answer.retry_after_ms)))
+    return thrift.encode_broken(seqid)
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -13,7 +13,15 @@
 from helpers.sockets import wait_readable
 
 from function_router.decisions.actions import SendRequest
-from function_router.net import client_connection, clock, connection, router_process, socket_reader
+from function_router.net import (
+    client_connection,
+    client_messages,
+    client_session,
+    clock,
+    connection,
+    router_process,
+    socket_reader,
+)
 from function_router.net.event_loop import READ
 from function_router.net.sockets import Unread
 
@@ -50,6 +58,11 @@
     harness.router_process.loop._run_turn([], harness.router_process.loop.clock.now_ms())
 
 
+def is_overdue(served, now_ms):
+    """Whether the message for which the connection waits has taken too long by then."""
+    return served.messages.is_overdue(now_ms, served.connection.last_received_ms)
+
+
 # --- malformed messages -------------------------------------------------------------------------
 
 
@@ -91,7 +104,7 @@
     failing = harness.connect_client()
     other = harness.connect_client()
 
-    with mock.patch.object(client_connection.ClientConnection, "_on_handle", side_effect=KeyError("boom")):
+    with mock.patch.object(client_session.ClientSession, "_on_handle", side_effect=KeyError("boom")):
         failing.send_request()
         harness.run_until(lambda: failing.is_closed, "the connection ends")
     other.send_request()
@@ -177,7 +190,7 @@
     assert (len(worker.requests), harness.table.pending) == (1, {})
 
 
-def test_withdrawal_far_behind_its_request_is_read_before_anything_is_sent(start_router):
+def test_cancellation_far_behind_its_request_is_read_before_anything_is_sent(start_router):
     harness, worker = start_with_warm_instances(start_router, settings=WITHOUT_CANCEL)
     client, served = connect_accepted_client(harness)
     for seqid in range(1, 11):
@@ -201,18 +214,18 @@
     [served] = harness.router_process.listener.connections
 
     with mock.patch.object(client_connection, "MAX_UNREAD_BYTES", 8 * 1024 * 1024):
-        served._write(b"x" * 7_000_000)
+        served.connection.write(b"x" * 7_000_000)
         harness.router_process.loop.run_once(0)
         harness.router_process.loop.run_once(0)
         assert not served.connection._is_reading
-    served._write(b"x" * 9_000_000)
+    served.connection.write(b"x" * 9_000_000)
     harness.router_process.loop.run_once(0)
 
     assert served.connection.is_closed
 
 
-@pytest.mark.parametrize("disconnects", [False, True], ids=["withdraws", "disconnects"])
-def test_client_that_does_not_read_can_still_withdraw_or_disconnect(start_router, disconnects):
+@pytest.mark.parametrize("disconnects", [False, True], ids=["cancels", "disconnects"])
+def test_client_that_does_not_read_can_still_cancel_or_disconnect(start_router, disconnects):
     harness = start_router(FakeWorker(instances=None))
     client, served = connect_accepted_client(harness)
     seqid = client.send_request()
@@ -220,7 +233,7 @@
     client.receive = lambda: None  # it reads no more
 
     with mock.patch.object(client_connection, "MAX_UNREAD_BYTES", 16 * 1024 * 1024):
-        served._write(b"x" * 12_000_000)
+        served.connection.write(b"x" * 12_000_000)
         harness.router_process.loop.run_once(0)
         assert served.connection.pending_bytes > client_connection.STOP_READING_BYTES
         if disconnects:
@@ -245,7 +258,7 @@
     harness.run_until(lambda: served.answers and partial_after_message.answers, "two are answered")
     partial_after_message.sock.sendall(encode_request(2, {})[:9])
 
-    with mock.patch.object(client_connection, "MESSAGE_TIMEOUT_MS", 0.0):
+    with mock.patch.object(client_messages, "MESSAGE_TIMEOUT_MS", 0.0):
         harness.run_until(
             lambda: all(client.is_closed for client in (silent, partial, partial_after_message)),
             "three are closed",
@@ -265,7 +278,7 @@
     client.send_request(withhold=50)
     for _ in range(5):
         harness.run_until(lambda: served.connection.peek() is Unread.NOTHING, "a chunk is read")
-        served._waiting_since_ms -= client_connection.MESSAGE_TIMEOUT_MS
+        served.messages._waiting_since_ms -= client_messages.MESSAGE_TIMEOUT_MS
         harness.router_process.listener.check_timeouts()
         client.send_withheld(10)
 
@@ -282,8 +295,8 @@
     for _ in range(3):
         harness.run_until(lambda: served.connection.peek() is Unread.NOTHING, "a chunk is read")
         last_received_ms = served.connection.last_received_ms
-        overdue.append(served.is_overdue(last_received_ms + client_connection.MESSAGE_TIMEOUT_MS))
-        served._waiting_since_ms = last_received_ms - client_connection.MESSAGE_TIMEOUT_MS
+        overdue.append(is_overdue(served, last_received_ms + client_messages.MESSAGE_TIMEOUT_MS))
+        served.messages._waiting_since_ms = last_received_ms - client_messages.MESSAGE_TIMEOUT_MS
         client.send_withheld(10)
 
     assert overdue == [True, True, False]
@@ -295,32 +308,32 @@
     served = harness.only_client_connection()
 
     client.send_request(withhold=50)
-    harness.run_until(lambda: served._reader.has_partial_frame, "the first part is read")
+    harness.run_until(lambda: served.messages.has_partial_message, "the first part is read")
     now_ms = clock.monotonic_ms()
 
-    assert not served.is_overdue(now_ms)
-    assert served.is_overdue(
-        served._waiting_since_ms + ANSWER_LIMIT_MS - router_process.TIMEOUT_CHECK_INTERVAL_MS
+    assert not is_overdue(served, now_ms)
+    assert is_overdue(
+        served, served.messages._waiting_since_ms + ANSWER_LIMIT_MS - router_process.TIMEOUT_CHECK_INTERVAL_MS
     )
 
 
-# --- a process that was held up -------------------------------------------------------------------
+# --- a process that has stalled -------------------------------------------------------------------
 
 
-def test_requests_read_together_after_a_hold_up_have_no_more_time_than_their_clients_left(start_router):
+def test_requests_read_together_after_a_stall_have_no_more_time_than_their_clients_left(start_router):
     harness = start_router(FakeWorker(instances=None))
     client, served = connect_accepted_client(harness)
     harness.round_trip(client)
-    hold_up_ms = 400.0
+    stall_ms = 400.0
 
     client.send_request(call="aa" * 8)
-    time.sleep(hold_up_ms / 1000)
+    time.sleep(stall_ms / 1000)
     client.send_request(call="bb" * 8)
     assert wait_readable(served.connection._sock)
     harness.router_process.loop.run_once(0)
 
     first, second = harness.table.pending.values()
-    assert first.client_request.timeout_ms <= 8000.0 - hold_up_ms + 50.0
+    assert first.client_request.timeout_ms <= 8000.0 - stall_ms + 50.0
     assert second.client_request.timeout_ms > 8000.0 - 100.0
 
 
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -7,7 +7,7 @@
 from helpers.fake_worker import FakeWorker
 from helpers.sockets import wait_readable
 
-from function_router.net import client_listener, connection, router_process
+from function_router.net import client_connection, client_listener, connection, router_process
 
 MAX_SOCKETS = 32
 FEW_SOCKETS = {"sockets": MAX_SOCKETS}
@@ -53,7 +53,7 @@
     client = harness.connect_client()
     client.send_request(withhold=9)
     served = harness.only_client_connection()
-    harness.run_until(lambda: served._reader.has_partial_frame, "the first part is read")
+    harness.run_until(lambda: served.messages.has_partial_message, "the first part is read")
     served.connection.last_used_ms -= 10 * client_listener.FIRST_MESSAGE_GRACE_MS
 
     for _ in range(30):
@@ -71,7 +71,7 @@
     client.send_request()
     assert wait_readable(served.connection._sock)
 
-    with mock.patch.object(client_listener, "IDLE_TIMEOUT_MS", -1.0):
+    with mock.patch.object(client_connection, "IDLE_TIMEOUT_MS", -1.0):
         harness.router_process.listener.check_timeouts()  # before the request is read
         harness.run_until(lambda: harness.table.pending, "the request is admitted")
 
--- a/tests/net/test_event_ordering_requests.py
+++ b/tests/net/test_event_ordering_requests.py
@@ -200,16 +200,16 @@
     second.send_request(call=REPEATED_ID)
     harness.run_until(lambda: harness.table.pending, "the second one is admitted")
     connections = harness.router_process.listener.connections
-    [second_connection] = [each for each in connections if each.pending]
+    [second_connection] = [each for each in connections if each.session.pending]
 
     close_client_unread(second, second_connection)
-    [third_connection] = [each for each in connections if not each.has_received_message]
+    [third_connection] = [each for each in connections if not each.messages.has_received_message]
     third.send_request(call=REPEATED_ID)
     assert wait_readable(third_connection.connection._sock)
     third_connection.connection._ready(READ)  # before the end of the second one is read
 
     assert second_connection.connection.is_closed
-    assert list(third_connection.pending) == [1]
+    assert list(third_connection.session.pending) == [1]
 
 
 def test_client_that_repeats_an_id_and_closes_leaves_nothing_pending(start_router):
--- a/tests/net/test_request_table.py
+++ b/tests/net/test_request_table.py
@@ -128,13 +128,13 @@
 def test_time_unread_in_the_socket_counts_towards_the_timeout(start_router):
     harness = start_router(FakeWorker(instances=None))
     harness.connect_client().send_request(ttl="8000")
-    hold_up_ms = 400.0
-    time.sleep(hold_up_ms / 1000)
+    stall_ms = 400.0
+    time.sleep(stall_ms / 1000)
 
     harness.run_until(lambda: harness.table.pending, "it is read")
 
     [request] = harness.table.pending.values()
-    time_left_ms = 8000.0 - hold_up_ms
+    time_left_ms = 8000.0 - stall_ms
     assert 0 <= request.deadline_ms - harness.router_process.loop.turn_started_ms <= time_left_ms
     [decided] = harness.router_process.router.requests.by_id.values()
     assert 0 <= decided.deadline_ms - decided.arrived_ms <= time_left_ms
--- a/tests/net/test_router_process.py
+++ b/tests/net/test_router_process.py
@@ -53,9 +53,9 @@
 def test_request_on_a_connection_not_accepted_yet_is_served_in_a_drain(harness, worker, is_paused):
     late_client = harness.connect_client()
     late_client.send_request()
-    assert wait_readable(harness.router_process.listener._listener)
+    assert wait_readable(harness.router_process.listener._acceptor._listener)
     if is_paused:
-        harness.router_process.listener._pause()
+        harness.router_process.listener._acceptor._pause()
 
     drain_past_late_arrivals(harness)
 
@@ -65,7 +65,7 @@
 def test_half_read_request_is_served_in_a_drain(harness, worker, client):
     [served] = harness.router_process.listener.connections
     client.send_request(withhold=9)
-    harness.run_until(lambda: served._reader.has_partial_frame, "half of the request is read")
+    harness.run_until(lambda: served.messages.has_partial_message, "half of the request is read")
 
     drain_past_late_arrivals(harness)
     client.send_withheld()
