--- a/function_router/net/attempts_in_flight.py
+++ b/function_router/net/attempts_in_flight.py
@@ -7,10 +7,11 @@
 from function_router.decisions.settings import RequestClass
 from function_router.decisions.types import Outcome
 from function_router.net.attempt_report import AttemptReport
+from function_router.net.client_request import Served
 from function_router.net.clock import monotonic_ms
 from function_router.net.event_loop import EventLoop
 from function_router.net.not_sent_reason import NotSentReason
-from function_router.net.pending_request import PendingRequest, Served
+from function_router.net.pending_request import PendingRequest
 from function_router.net.pending_requests import PendingRequests
 from function_router.net.send_checks import check_request
 from function_router.net.worker_messages import Answer, Attempt, Result
@@ -75,16 +76,16 @@
 
     def _create(self, request: PendingRequest, number: int, worker_id: int) -> Attempt:
         key = request.key
-        client_request = request.client_request
+        invocation = request.invocation
         return Attempt(
             worker_id=worker_id,
             on_done=lambda attempt, result: self._on_done(key, number, attempt, result),
             reason_not_to_send=lambda: self._reason_not_to_send(key),
-            exchange_id=client_request.id,
-            class_name=client_request.class_name,
-            function=client_request.function,
-            idempotency_key=client_request.idempotency_key,
-            body=client_request.body,
+            exchange_id=invocation.request_id,
+            class_name=invocation.class_name,
+            function=invocation.function,
+            idempotency_key=invocation.idempotency_key,
+            body=invocation.body,
             deadline_ms=request.deadline_ms,
         )
 
@@ -93,7 +94,7 @@
         request = self._requests.by_key.get(key)
         if request is None:
             return NotSentReason.REQUEST_FINISHED
-        request_class = self._classes.get(request.client_request.class_name)
+        request_class = self._classes.get(request.invocation.class_name)
         return check_request(request, request_class, self._of_request(request), monotonic_ms())
 
     def _of_request(self, request: PendingRequest) -> list[Attempt]:
--- a/function_router/net/client_session.py
+++ b/function_router/net/client_session.py
@@ -4,12 +4,23 @@
 from typing import Protocol
 
 from function_router.decisions.settings import RequestClass
-from function_router.net.client_request import FIELD_REQUEST_ID, ParsedRequest, parse_client_request
+from function_router.net.client_request import (
+    ClientRequest,
+    Failed,
+    FinalAnswer,
+    Invocation,
+    Rejected,
+    Served,
+)
 from function_router.net.close_reason import CloseReason
 from function_router.net.codecs import thrift
 from function_router.net.connection import Connection
 from function_router.net.invariants import Invariant
-from function_router.net.pending_request import ClientRequest, Failed, FinalAnswer, Rejected, Served
+from function_router.net.request_parser import (
+    FIELD_REQUEST_ID,
+    InvalidFieldError,
+    parse_invocation,
+)
 from function_router.net.request_table import RequestTable
 from function_router.net.telemetry import Telemetry
 
@@ -97,7 +108,7 @@
 
     def _on_handle(self, message: thrift.Handle, age_ms: float) -> None:
         try:
-            parsed = self._parse_request(message)
+            invocation = self._parse(message)
         except thrift.MalformedMessageError as error:
             error.seqid = message.seqid
             self._on_malformed_message(error)
@@ -105,14 +116,18 @@
         # The check for another request of the same id may have found that this very client is gone.
         if self._connection.is_closed:
             return
-        admitted = self._service.table.admit(self._client_request(message.seqid, parsed, age_ms))
+        seqid = message.seqid
+        client_request = ClientRequest(
+            invocation, age_ms, lambda answer: self._reply(seqid, answer), self._is_client_connected
+        )
+        admitted = self._service.table.admit(client_request)
         if isinstance(admitted, Rejected):
-            self._connection.write(encode_answer(message.seqid, admitted))
+            self._connection.write(encode_answer(seqid, admitted))
         else:
-            self.pending[message.seqid] = admitted
+            self.pending[seqid] = admitted
 
-    def _parse_request(self, message: thrift.Handle) -> ParsedRequest:
-        """Parse a request and check it against the pending ones.
+    def _parse(self, message: thrift.Handle) -> Invocation:
+        """Parse a request, and check it against the pending ones.
 
         Raises:
             MalformedMessageError: where the request can't be admitted as it is.
@@ -123,29 +138,11 @@
         if len(self.pending) >= MAX_PENDING_REQUESTS:
             reason = "too many open requests"
             raise thrift.MalformedMessageError(reason)
-        parsed = parse_client_request(message, self._service.classes, self._service.tenants)
+        invocation = parse_invocation(message, self._service.classes, self._service.tenants)
         # Clients take a new id for each request, also for one that they send again.
-        if self._service.table.is_pending(parsed.request_id):
-            reason = f"{FIELD_REQUEST_ID}: the id of an open request"
-            raise thrift.MalformedMessageError(reason)
-        return parsed
-
-    def _client_request(self, seqid: int, parsed: ParsedRequest, age_ms: float) -> ClientRequest:
-        return ClientRequest(
-            id=parsed.request_id,
-            class_name=parsed.class_name,
-            tenant=parsed.tenant,
-            function=parsed.function,
-            timeout_ms=max(0.0, parsed.timeout_ms - age_ms),
-            body=parsed.body,
-            idempotency_key=parsed.idempotency_key,
-            concurrency=parsed.concurrency,
-            memory_mb=parsed.memory_mb,
-            expected_start_ms=parsed.expected_start_ms,
-            reply=lambda answer: self._reply(seqid, answer),
-            age_ms=age_ms,
-            is_client_connected=self._is_client_connected,
-        )
+        if self._service.table.is_pending(invocation.request_id):
+            raise InvalidFieldError(FIELD_REQUEST_ID, "the id of an open request")
+        return invocation
 
     # --- answers ------------------------------------------------------------------------------
 
--- a/function_router/net/pending_request.py
+++ b/function_router/net/pending_request.py
@@ -1,14 +1,9 @@
-"""A client's request, independent of the client protocol, and its state until the final answer.
-
-A `ClientRequest` says what is asked and where the answer goes, so that another client protocol can be put in
-front of the same request table.
-"""
+"""The state of a request from its admission to its final answer."""
 
 import math
-from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import ClassVar
 
+from function_router.net.client_request import ClientRequest, FinalAnswer, Invocation
 from function_router.net.clock import monotonic_ms
 from function_router.net.timer_wheel import Timer
 
@@ -16,64 +11,35 @@
 MAX_TRACE_STEPS = 24
 
 
-@dataclass(frozen=True, slots=True)
-class Served:
-    """A worker ran the request."""
-
-    body: bytes
-    name: ClassVar[str] = "served"
-
-
-@dataclass(frozen=True, slots=True)
-class Rejected:
-    """The request was not served, and the client may safely retry it."""
-
-    retry_after_ms: float  # how long the client should wait before that; 0: no advice
-    name: ClassVar[str] = "rejected"
-
-
-@dataclass(frozen=True, slots=True)
-class Failed:
-    """The request may or may not have run, so that a retry may run it twice."""
-
-    name: ClassVar[str] = "failed"
-
-
-FinalAnswer = Served | Rejected | Failed
-"""The one answer that a client gets."""
-
-
-@dataclass(frozen=True, slots=True)
-class ClientRequest:
-    """What a client asks for, and how to answer it."""
-
-    id: bytes  # the client's own; unique among pending requests
-    class_name: str
-    tenant: str
-    function: str
-    timeout_ms: float  # until the client stops waiting
-    body: bytes
-    idempotency_key: str
-    concurrency: int  # requests that an instance of the function serves at once
-    memory_mb: float | None  # of an instance
-    expected_start_ms: float | None  # typical time that a cold start takes
-    reply: Callable[[FinalAnswer], None]
-    age_ms: float  # how long its last bytes lay in the socket before they were read
-    is_client_connected: Callable[[], bool]  # closes the connection as a side effect if the client has gone
-
-
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that has no final answer yet."""
+    """A request that has no final answer yet.
+
+    Attributes:
+        key: identifies the request within this router.
+        client_request: the client's request, and how to answer it.
+        deadline_ms: by when it has to be answered, on the monotonic clock.
+        deadline_timer: fires at the deadline.
+        attempt_count: how many attempts were sent; the decision module numbers them in the same order.
+        first_run_at_ms: when the earliest ended attempt that may have run was created, on the monotonic
+            clock; infinite where there is none.
+        admitted_at_ms: when it was admitted, on the monotonic clock.
+        trace: what happened to it, for the log.
+    """
 
     key: str
     client_request: ClientRequest
-    deadline_ms: float  # of the monotonic clock
+    deadline_ms: float
     deadline_timer: Timer
-    attempt_count: int = 0  # sent so far; the decision module numbers attempts in the same order
-    first_run_at_ms: float = math.inf  # when the earliest ended attempt that may have run was created
+    attempt_count: int = 0
+    first_run_at_ms: float = math.inf
     admitted_at_ms: float = field(default_factory=monotonic_ms)
-    trace: list[str] = field(default_factory=list)  # what happened to it, for the log
+    trace: list[str] = field(default_factory=list)
+
+    @property
+    def invocation(self) -> Invocation:
+        """What the client asked for."""
+        return self.client_request.invocation
 
     def take_attempt_number(self) -> int:
         """The number of the next attempt; each call counts one."""
@@ -88,9 +54,9 @@
 
     def format_trace(self, answer: FinalAnswer, duration_ms: float) -> str:
         """Format the log line of the whole request: id, class, function, outcome, times and steps."""
-        request = self.client_request
+        invocation = self.invocation
         steps = "; ".join(self.trace) or "never sent"
         return (
-            f"{request.id.hex()} {request.class_name} of {request.function} {answer.name} "
-            f"after {duration_ms:.0f} ms (timeout {request.timeout_ms:.0f} ms): {steps}"
+            f"{invocation.request_id.hex()} {invocation.class_name} of {invocation.function} {answer.name} "
+            f"after {duration_ms:.0f} ms (timeout {self.client_request.timeout_ms:.0f} ms): {steps}"
         )
--- a/function_router/net/pending_requests.py
+++ b/function_router/net/pending_requests.py
@@ -1,6 +1,7 @@
 """The set of pending requests, within its limits, and the requests that finished a moment ago."""
 
-from function_router.net.pending_request import ClientRequest, PendingRequest
+from function_router.net.client_request import Invocation
+from function_router.net.pending_request import PendingRequest
 
 # Bodies of all pending requests together: a part of the memory limit.
 MAX_TOTAL_BODY_BYTES = 32 * 1024 * 1024
@@ -21,25 +22,25 @@
         self._body_bytes = 0
         self._keys_by_client_id: dict[bytes, str] = {}
 
-    def has_capacity_for(self, client_request: ClientRequest) -> bool:
+    def has_capacity_for(self, invocation: Invocation) -> bool:
         """Whether one more request with this body is within the limits."""
         has_free_entry = len(self.by_key) < self._max_requests
-        return has_free_entry and self._body_bytes + len(client_request.body) <= MAX_TOTAL_BODY_BYTES
+        return has_free_entry and self._body_bytes + len(invocation.body) <= MAX_TOTAL_BODY_BYTES
 
     def add(self, request: PendingRequest) -> None:
         """Add a request, whose key and client's id no other pending request has."""
-        client_request = request.client_request
+        invocation = request.invocation
         self.by_key[request.key] = request
-        self._body_bytes += len(client_request.body)
-        self._keys_by_client_id[client_request.id] = request.key
+        self._body_bytes += len(invocation.body)
+        self._keys_by_client_id[invocation.request_id] = request.key
 
     def remove(self, key: str) -> PendingRequest | None:
         """Remove and return a request; None where it is not pending."""
         request = self.by_key.pop(key, None)
         if request:
-            client_request = request.client_request
-            self._body_bytes -= len(client_request.body)
-            self._keys_by_client_id.pop(client_request.id, None)
+            invocation = request.invocation
+            self._body_bytes -= len(invocation.body)
+            self._keys_by_client_id.pop(invocation.request_id, None)
         return request
 
     def with_client_id(self, client_request_id: bytes) -> PendingRequest | None:
@@ -50,7 +51,7 @@
     def add_trace_step(self, function: str, text: str) -> None:
         """Record a step that concerns all requests for a function, such as a start order."""
         for request in self.by_key.values():
-            if request.client_request.function == function:
+            if request.invocation.function == function:
                 request.add_trace_step(text)
 
 
--- a/function_router/net/request_table.py
+++ b/function_router/net/request_table.py
@@ -1,6 +1,6 @@
 """Every pending request, from a client's message to its one final answer.
 
-Nothing here depends on the protocol of clients: see `function_router.net.pending_request`.
+Nothing here depends on the protocol of clients: see `function_router.net.client_request`.
 """
 
 import itertools
@@ -19,17 +19,11 @@
 from function_router.decisions.settings import RequestClass
 from function_router.decisions.types import Outcome
 from function_router.net.attempts_in_flight import AttemptsInFlight
+from function_router.net.client_request import ClientRequest, Failed, FinalAnswer, Rejected, Served
 from function_router.net.clock import monotonic_ms
 from function_router.net.event_loop import EventLoop
 from function_router.net.invariants import MAX_LATENESS_MS, Invariant
-from function_router.net.pending_request import (
-    ClientRequest,
-    Failed,
-    FinalAnswer,
-    PendingRequest,
-    Rejected,
-    Served,
-)
+from function_router.net.pending_request import PendingRequest
 from function_router.net.pending_requests import PendingRequests, RecentlyFinishedRequests
 from function_router.net.start_orders import RevalidateStartOrder, StartOrderSender
 from function_router.net.telemetry import ANSWERS, Telemetry
@@ -89,24 +83,25 @@
 
     def admit(self, client_request: ClientRequest) -> str | Rejected:
         """Add a request and return its key, or a rejection to answer at once where the table is full."""
-        if not self._requests.has_capacity_for(client_request):
+        if not self._requests.has_capacity_for(client_request.invocation):
             return Rejected(min(FULL_TABLE_RETRY_AFTER_MS, self._wire.max_retry_after_ms))
         key = f"r{next(self._request_numbers)}"
         now_ms = self._loop.turn_started_ms
         timeout_ms = max(0.0, min(client_request.timeout_ms, self._shutdown_at_ms - now_ms))
         deadline_timer = self._set_deadline_timer(key, timeout_ms)
         self._requests.add(PendingRequest(key, client_request, now_ms + timeout_ms, deadline_timer))
+        invocation = client_request.invocation
         self._loop.submit(
             RequestArrived(
                 request_id=key,
-                function=client_request.function,
-                class_name=client_request.class_name,
-                tenant=client_request.tenant,
+                function=invocation.function,
+                class_name=invocation.class_name,
+                tenant=invocation.tenant,
                 timeout_ms=timeout_ms,
-                concurrency=client_request.concurrency,
-                memory_mb=client_request.memory_mb,
-                expected_start_ms=client_request.expected_start_ms,
-                client_id=client_request.id.hex(),
+                concurrency=invocation.concurrency,
+                memory_mb=invocation.memory_mb,
+                expected_start_ms=invocation.expected_start_ms,
+                client_id=invocation.request_id.hex(),
                 age_ms=client_request.age_ms,
             )
         )
@@ -205,7 +200,7 @@
         return request
 
     def _submit_cancelled(self, request: PendingRequest) -> None:
-        self._loop.submit(RequestCancelled(request.key, request.client_request.id.hex()))
+        self._loop.submit(RequestCancelled(request.key, request.invocation.request_id.hex()))
 
     def _check_in_time(self, request: PendingRequest) -> None:
         late_ms = monotonic_ms() - request.deadline_ms
@@ -216,7 +211,7 @@
     def _log_trace(self, request: PendingRequest, answer: FinalAnswer) -> None:
         """Log the steps of a request that was not served within its class's latency objective."""
         duration_ms = monotonic_ms() - request.admitted_at_ms
-        request_class = self._classes.get(request.client_request.class_name)
+        request_class = self._classes.get(request.invocation.class_name)
         if request_class is None:
             return
         if isinstance(answer, Served) and duration_ms <= request_class.latency_objective_ms:
--- a/tests/net/test_invariants.py
+++ b/tests/net/test_invariants.py
@@ -6,9 +6,9 @@
 from helpers.process_harness import UNLISTED_WORKER_ID
 
 from function_router.decisions.types import WorkerState
+from function_router.net.client_request import Failed
 from function_router.net.close_reason import CloseReason
 from function_router.net.invariants import Invariant
-from function_router.net.pending_request import Failed
 
 
 @pytest.fixture
--- a/tests/net/test_pending_request.py
+++ b/tests/net/test_pending_request.py
@@ -2,21 +2,15 @@
 
 import pytest
 
-from function_router.net.pending_request import (
-    MAX_TRACE_STEPS,
-    ClientRequest,
-    Failed,
-    PendingRequest,
-    Rejected,
-    Served,
-)
+from function_router.net.client_request import ClientRequest, Failed, Invocation, Rejected, Served
+from function_router.net.pending_request import MAX_TRACE_STEPS, PendingRequest
 from function_router.net.timer_wheel import Timer
 
 
 @pytest.fixture
 def pending_request():
-    client_request = ClientRequest(
-        id=bytes.fromhex("9b1f03aa5c7e2d41"),
+    invocation = Invocation(
+        request_id=bytes.fromhex("9b1f03aa5c7e2d41"),
         class_name="view",
         tenant="acme",
         function="f1",
@@ -26,9 +20,9 @@
         concurrency=1,
         memory_mb=None,
         expected_start_ms=None,
-        reply=lambda _answer: None,
-        age_ms=0.0,
-        is_client_connected=lambda: True,
+    )
+    client_request = ClientRequest(
+        invocation, age_ms=0.0, reply=lambda _answer: None, is_client_connected=lambda: True
     )
     return PendingRequest("r1", client_request, 8000.0, Timer(0, None))
 
--- a/tests/net/test_client_request.py
+++ b/tests/net/test_request_parser.py
@@ -1,11 +1,11 @@
-"""Tests of parsing and checking the fields of a client's request."""
+"""Tests of `request_parser`."""
 
 import pytest
 from helpers.client_messages import FUNCTION, REQUEST_FIELDS
 
 from function_router.config import parse_settings
-from function_router.net.client_request import parse_client_request
 from function_router.net.codecs import thrift
+from function_router.net.request_parser import InvalidFieldError, parse_invocation
 
 
 @pytest.fixture(scope="module")
@@ -23,7 +23,7 @@
     properties = "memory_mb:512;lanes:2;load_ms:640.5;unheard:x"
     message = thrift.Handle(1, REQUEST_FIELDS | {"props": properties}, b"b")
 
-    parsed = parse_client_request(message, classes)
+    parsed = parse_invocation(message, classes)
 
     assert (parsed.concurrency, parsed.memory_mb, parsed.expected_start_ms) == (2, 512.0, 640.5)
     assert (parsed.request_id.hex(), parsed.function) == (REQUEST_FIELDS["call"], FUNCTION)
@@ -57,5 +57,5 @@
 def test_request_with_an_invalid_field_is_malformed(classes, changes):
     message = thrift.Handle(1, REQUEST_FIELDS | changes, b"")
 
-    with pytest.raises(thrift.MalformedMessageError):
-        parse_client_request(message, classes)
+    with pytest.raises(InvalidFieldError):
+        parse_invocation(message, classes)
