--- a/function_router/net/codecs/thrift_arguments.py
+++ b/function_router/net/codecs/thrift_arguments.py
@@ -18,22 +18,29 @@
     MalformedMessageError,
 )
 
-MAX_DEPTH = 16  # nested values in a field that is skipped
-MAX_MAP_ENTRIES = 64  # the service's own map of fields has fewer than ten
-
-SKIPPED_WIDTHS = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I64: 8}  # bytes of the types that no method uses
-FIELD_ID_WIDTH = 2  # bytes
-MIN_LIST_ITEM_WIDTH = 1  # bytes; the smallest value of any type takes one
-MIN_MAP_ENTRY_WIDTH = 2  # bytes; a key and a value
+# How deep values may be nested in a field that is skipped.
+MAX_DEPTH = 16
+# The service's own map of fields has fewer than ten.
+MAX_MAP_ENTRIES = 64
+
+# Sizes in bytes of the types that no method of the service uses.
+SKIPPED_SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I64: 8}
+# Bytes of a field id.
+FIELD_ID_SIZE = 2
+# The smallest value of any type takes one byte.
+MIN_LIST_ITEM_SIZE = 1
+# A key and a value.
+MIN_MAP_ENTRY_SIZE = 2
 
 _I16 = struct.Struct(">h")
 _I32 = struct.Struct(">i")
 
-Value = bytes | int | dict[bytes, "Value"] | None  # None stands for a value that was skipped
+Value = bytes | int | dict[bytes, "Value"] | None
+"""A value of a type that the service uses; None for one of another type, which was skipped."""
 
 
 class Arguments:
-    """The fields of an argument struct, by type and field id; a repeated field has its last value."""
+    """The fields of an argument struct by type and field id; of a repeated field, the last value."""
 
     __slots__ = ("_values",)
 
@@ -59,8 +66,8 @@
 class ArgumentReader:
     """Reads one argument struct; fields that the service does not use are checked and skipped.
 
-    Besides `MalformedMessageError`, its methods let `struct.error` and `IndexError` pass where the data
-    ends too early.
+    Besides `MalformedMessageError`, its methods raise `struct.error` and `IndexError` where the data ends too
+    early.
     """
 
     __slots__ = ("_data", "_position")
@@ -70,11 +77,11 @@
         self._position = position
 
     def read(self) -> Arguments:
-        """Read the struct, which has to take up all data that is left."""
+        """Read the struct, which has to extend to the end of the data."""
         values: dict[tuple[int, int], Value] = {}
         while (field_type := self._read_byte()) != STOP:
             (field_id,) = _I16.unpack_from(self._data, self._position)
-            self._position += FIELD_ID_WIDTH
+            self._position += FIELD_ID_SIZE
             values[field_type, field_id] = self._read_value(field_type, depth=0)
         if self._position != len(self._data):
             reason = "bytes follow the arguments"
@@ -105,25 +112,25 @@
         self._position += _I32.size
         return value
 
-    def _read_count(self, min_item_width: int) -> int:
+    def _read_count(self, min_item_size: int) -> int:
         """Read a number of items; one that the rest of the frame can't hold is rejected before any work."""
         count = self._read_i32()
-        if not 0 <= count <= (len(self._data) - self._position) // min_item_width:
+        if not 0 <= count <= (len(self._data) - self._position) // min_item_size:
             reason = "a length that the frame can't hold"
             raise MalformedMessageError(reason)
         return count
 
     def _read_string(self) -> bytes:
-        length = self._read_count(min_item_width=1)
+        length = self._read_count(min_item_size=1)
         start = self._position
         self._position += length
         return self._data[start : self._position]
 
     def _read_map(self, depth: int) -> dict[bytes, Value]:
-        """Read a map; entries whose key is no string are left out."""
+        """Read a map; entries whose key is not a string are left out."""
         key_type = self._read_byte()
         value_type = self._read_byte()
-        count = self._read_count(MIN_MAP_ENTRY_WIDTH)
+        count = self._read_count(MIN_MAP_ENTRY_SIZE)
         if count > MAX_MAP_ENTRIES:
             reason = "too many fields"
             raise MalformedMessageError(reason)
@@ -136,8 +143,8 @@
         return entries
 
     def _skip_value(self, field_type: int, depth: int) -> None:
-        if field_type in SKIPPED_WIDTHS:
-            self._skip_bytes(SKIPPED_WIDTHS[field_type])
+        if field_type in SKIPPED_SIZES:
+            self._skip_bytes(SKIPPED_SIZES[field_type])
         elif field_type in (LIST, SET):
             self._skip_list(depth)
         elif field_type == STRUCT:
@@ -146,17 +153,17 @@
             reason = "an unknown type of field"
             raise MalformedMessageError(reason)
 
-    def _skip_bytes(self, width: int) -> None:
-        self._position += width
+    def _skip_bytes(self, count: int) -> None:
+        self._position += count
         if self._position > len(self._data):
             raise IndexError
 
     def _skip_list(self, depth: int) -> None:
         item_type = self._read_byte()
-        for _ in range(self._read_count(MIN_LIST_ITEM_WIDTH)):
+        for _ in range(self._read_count(MIN_LIST_ITEM_SIZE)):
             self._read_value(item_type, depth + 1)
 
     def _skip_struct(self, depth: int) -> None:
         while (field_type := self._read_byte()) != STOP:
-            self._position += FIELD_ID_WIDTH
+            self._position += FIELD_ID_SIZE
             self._read_value(field_type, depth + 1)
--- a/function_router/net/codecs/thrift_reader.py
+++ b/function_router/net/codecs/thrift_reader.py
@@ -27,11 +27,16 @@
     Withdraw,
 )
 
-MAX_FRAME_BYTES = 48 * 1024  # a body of 16 KiB and its fields take far less
-MAX_HEAD_BYTES = 256  # bytes of an oversized frame among which its sequence number is looked for
+# Of one frame; a body of 16 KiB and its fields take far less.
+MAX_FRAME_BYTES = 48 * 1024
+# Bytes of an oversized frame in which its sequence number is searched for.
+MAX_HEAD_BYTES = 256
+# Of what a function is to be run on.
 MAX_BODY_BYTES = 16 * 1024
-MAX_METHOD_BYTES = 64  # the service's own names have 8 at most
-FRAME_SIZE_LIMIT = 2**31  # frame sizes are signed: one that is larger is no Thrift
+# Of a method's name; those of the service have 8 at most.
+MAX_METHOD_BYTES = 64
+# Frame sizes are signed integers: a frame that seems to be larger is not Thrift.
+FRAME_SIZE_LIMIT = 2**31
 
 _U32 = struct.Struct(">I")
 _I32 = struct.Struct(">i")
@@ -39,7 +44,7 @@
 
 
 class FrameReader:
-    """Splits a byte stream into frames; keeps at most one frame that is not complete yet."""
+    """Splits a byte stream into frames, and keeps at most one frame that is not complete yet."""
 
     __slots__ = ("_buffer", "_bytes_to_skip")
 
@@ -54,24 +59,21 @@
 
     @property
     def is_skipping(self) -> bool:
-        """Whether the rest of an oversized frame, which is thrown away, has still to come."""
+        """Whether more of an oversized frame, which is discarded, has yet to come."""
         return self._bytes_to_skip > 0
 
     def feed(self, data: bytes) -> list[Message | MalformedMessageError]:
         """Add bytes; return the messages that are complete now, in order.
 
-        A frame that is no valid message gives an error in its place. After an error without a sequence
-        number nothing that follows can be read: the connection is to be closed.
+        A frame that is not a valid message is returned as an error. After an error without a sequence number
+        nothing that follows can be read: the connection is to be closed.
         """
         self._buffer += data
         found: list[Message | MalformedMessageError] = []
-        start = 0
-        while True:
-            start += self._skip_oversized_frame(start)
+        start = self._skip_oversized_frame(0)
+        while (size := self._frame_size(start)) is not None:
             payload_start = start + _U32.size
-            if payload_start > len(self._buffer):
-                break
-            (size,) = _U32.unpack_from(self._buffer, start)
+            payload_end = payload_start + size
             if size > MAX_FRAME_BYTES:
                 error = self._oversized_frame_error(payload_start, size)
                 if error is None:
@@ -80,18 +82,25 @@
                 if error.seqid is None:
                     break
                 self._bytes_to_skip = size
-                start = payload_start
-                continue
-            payload_end = payload_start + size
-            if payload_end > len(self._buffer):
+                start = payload_start + self._skip_oversized_frame(payload_start)
+            elif payload_end <= len(self._buffer):
+                found.append(parse_message(bytes(self._buffer[payload_start:payload_end])))
+                start = payload_end
+            else:
                 break
-            found.append(parse_message(bytes(self._buffer[payload_start:payload_end])))
-            start = payload_end
         del self._buffer[:start]
         return found
 
+    def _frame_size(self, start: int) -> int | None:
+        """The size of the frame that begins at this position; None until that has come."""
+        if start + _U32.size > len(self._buffer):
+            return None
+        size: int
+        (size,) = _U32.unpack_from(self._buffer, start)
+        return size
+
     def _skip_oversized_frame(self, start: int) -> int:
-        """The number of bytes from here on that belong to an oversized frame."""
+        """Skip what belongs to an oversized frame from this position on; return how many bytes that is."""
         skipped = min(self._bytes_to_skip, len(self._buffer) - start)
         self._bytes_to_skip -= skipped
         return skipped
@@ -111,7 +120,7 @@
 
 
 class MessageHead(NamedTuple):
-    """What comes before the arguments of a message, and where they start."""
+    """The head of a message, and the position at which its arguments start."""
 
     message_type: int
     method: str
@@ -124,7 +133,7 @@
 
     Raises:
         TruncatedMessageError: where the data ends before the head does.
-        MalformedMessageError: where it is no head of the strict binary protocol.
+        MalformedMessageError: where it is not a head of the strict binary protocol.
     """
     try:
         return _parse_head(data)
@@ -149,7 +158,7 @@
 
 
 def parse_message(data: bytes) -> Message | MalformedMessageError:
-    """Parse the payload of one frame; one that is no valid message gives the error."""
+    """Parse the payload of one frame; return the error where it is not a valid message."""
     try:
         head = parse_head(data)
     except MalformedMessageError as error:
