--- /dev/null
+++ b/tests/net/test_pending_requests.py
@@ -0,0 +1,74 @@
+"""Tests of `pending_requests`: limits, ids, and the requests that finished a moment ago."""
+
+from unittest import mock
+
+import pytest
+from helpers.pending_requests import pending_request
+
+from function_router.net import pending_requests
+from function_router.net.pending_requests import PendingRequests, RecentlyFinishedRequests
+
+
+@pytest.fixture
+def requests():
+    return PendingRequests(max_requests=2)
+
+
+def test_number_of_requests_is_limited(requests):
+    has_capacity = []
+    for key in ("r1", "r2"):
+        has_capacity.append(requests.has_capacity_for(pending_request(key).invocation))
+        requests.add(pending_request(key))
+
+    assert has_capacity == [True, True]
+    assert not requests.has_capacity_for(pending_request("r3").invocation)
+
+
+def test_bytes_of_all_bodies_are_limited_until_their_requests_are_removed(requests):
+    large = pending_request("r1", body=b"x" * 10)
+    requests.add(large)
+
+    with mock.patch.object(pending_requests, "MAX_TOTAL_BODY_BYTES", 10):
+        has_capacity_before = requests.has_capacity_for(pending_request("r2", body=b"x").invocation)
+        requests.remove("r1")
+        has_capacity_after = requests.has_capacity_for(pending_request("r2", body=b"x" * 10).invocation)
+
+    assert (has_capacity_before, has_capacity_after) == (False, True)
+
+
+def test_request_is_found_by_the_id_of_its_client_until_it_is_removed(requests):
+    request = pending_request("r1", request_id=b"abcdefgh")
+    requests.add(request)
+
+    assert requests.with_client_id(b"abcdefgh") is request
+    assert requests.with_client_id(b"12345678") is None
+
+    assert requests.remove("r1") is request
+    assert requests.remove("r1") is None
+    assert requests.with_client_id(b"abcdefgh") is None
+
+
+def test_trace_step_goes_to_the_requests_for_its_function_only(requests):
+    concerned = pending_request("r1", function="f")
+    other = pending_request("r2", function="g", request_id=b"abcdefgh")
+    requests.add(concerned)
+    requests.add(other)
+
+    requests.add_trace_step("f", "ensure 1 instances at 7")
+
+    assert [step.split(" ", 1)[1] for step in concerned.trace] == ["ensure 1 instances at 7"]
+    assert other.trace == []
+
+
+def test_finished_request_is_known_in_the_batch_it_finished_in_and_the_one_after():
+    finished = RecentlyFinishedRequests()
+    request = pending_request("r1")
+    finished.begin_batch()
+    finished.add(request)
+
+    found = [finished.get("r1")]
+    for _ in range(2):
+        finished.begin_batch()
+        found.append(finished.get("r1"))
+
+    assert found == [request, request, None]
