--- a/function_router/net/event_loop.py
+++ b/function_router/net/event_loop.py
@@ -1,7 +1,6 @@
 """The event loop: each turn reads the ready sockets, fires timers, handles a batch of events, then writes."""
 
 import selectors
-import signal
 import socket
 import traceback
 from collections.abc import Callable
@@ -9,8 +8,8 @@
 
 from function_router.decisions.events import Event
 from function_router.net.clock import Clock, monotonic_ms, unix_ms
+from function_router.net.signal_wakeup import SignalWakeup
 from function_router.net.timer_wheel import TimerWheel
-from function_router.net.transient_errors import is_transient
 
 # A turn that takes longer is logged, as replies may miss their deadlines.
 SLOW_TURN_MS = 80.0
@@ -21,8 +20,6 @@
 MAX_POLL_UNCERTAINTY_MS = 5.0
 # Polls without a wait that follow such a poll, until one finds something; each may be interrupted as well.
 MAX_CONFIRMING_POLLS = 2
-# Bytes to read from the wakeup socket at once; each signal writes one.
-MAX_SIGNALS_PER_READ = 64
 # Innermost frames of an unhandled exception that are logged.
 TRACEBACK_FRAMES = 3
 
@@ -78,7 +75,7 @@
         self.timers.on_exception = self.report_exception
         self._pending_events: list[Event] = []
         self._to_flush: dict[Flushable, None] = {}  # an ordered set
-        self._wakeup_sockets: tuple[socket.socket, socket.socket] | None = None
+        self._signals: SignalWakeup | None = None
 
     # --- sockets and events -------------------------------------------------------------------
 
@@ -206,42 +203,12 @@
     # --- signals and the end ------------------------------------------------------------------
 
     def handle_signals(self, handlers: dict[int, Callable[[], None]]) -> None:
-        """Call the handlers of signals, which are given by signal number, in turns of the loop.
-
-        Python writes the number of each signal to a socket pair, which wakes the selector. A signal that
-        was blocked and arrived during start-up is handled in the first turn.
-        """
-        near, far = socket.socketpair()
-        near.setblocking(False)
-        far.setblocking(False)
-        self._wakeup_sockets = (near, far)
-        signal.set_wakeup_fd(far.fileno(), warn_on_full_buffer=False)
-        for number in handlers:
-            signal.signal(number, lambda *_: None)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, handlers)
-
-        def on_signals(_mask: int) -> None:
-            for number in _read_signals(near):
-                handler = handlers.get(number)
-                if handler:
-                    handler()
-
-        self.register(near, READ, on_signals)
+        """Call the handlers of signals, which are given by signal number, in turns of the loop."""
+        self._signals = SignalWakeup(handlers)
+        self.register(self._signals.sock, READ, self._signals.on_readable)
 
     def close(self) -> None:
         """Close the selector and the sockets for signals; registered sockets are closed by their owners."""
-        if self._wakeup_sockets:
-            signal.set_wakeup_fd(-1)
-            for sock in self._wakeup_sockets:
-                sock.close()
+        if self._signals:
+            self._signals.close()
         self._selector.close()
-
-
-def _read_signals(sock: socket.socket) -> bytes:
-    """The numbers of the signals that arrived; none where the read fails for a moment."""
-    try:
-        return sock.recv(MAX_SIGNALS_PER_READ)
-    except OSError as error:
-        if not is_transient(error):
-            raise
-        return b""
