--- a/function_router/simulator_adapter.py
+++ b/function_router/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""Runs the decisions in the simulator: JSON lines on standard input, replies on standard output.
+"""Hosts the decisions of simulated routers: batches of events on standard input, replies on standard output.
 
-Run as ``python -m function_router.simulator_adapter``. Every decision is in `function_router.decisions`, and
-the messages are translated by `function_router.simulator_codec`.
+Run as ``python -m function_router.simulator_adapter``. A batch is a line of JSON and has one reply, a line of
+JSON too. `function_router.simulator_codec` translates the messages in them.
 """
 
 import gc
@@ -15,20 +15,22 @@
 from function_router.decisions.router import Router
 from function_router.errors import FunctionRouterError
 from function_router.simulator_codec import (
-    INSTANCE_KILLED,
-    INSTANCE_STARTED,
-    READERS,
+    EVENT_READERS,
+    ROUTER_KILLED,
+    ROUTER_STARTED,
     SEED,
     SETTINGS,
-    WRITERS,
     JsonObject,
+    write_action,
     write_exception,
 )
 
-# Fields of a batch, of its elements, and of the reply.
+# Fields of a batch and of its reply.
 NOW = "wall"
-INSTANCE_BATCHES = "ends"
-INSTANCE_ID = "who"
+ROUTER_BATCHES = "ends"
+
+# Fields of an element of ROUTER_BATCHES.
+ROUTER_ID = "who"
 MESSAGES = "inbox"
 REPLY_MESSAGES = "steps"
 
@@ -38,7 +40,7 @@
 EXIT_OK = 0
 EXIT_INVALID_BATCH = 2
 
-# What a reader raises for a body that lacks a field or has one of a wrong type.
+# Raised by a reader for a body that lacks a field or has one of the wrong type.
 INVALID_BODY_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 
 
@@ -47,7 +49,11 @@
 
 
 class SimulatorAdapter:
-    """One `Router` for each instance; they share nothing."""
+    """Hosts one `Router` for each router of the simulation; they share nothing.
+
+    Attributes:
+        routers: the running ones by their number.
+    """
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
@@ -61,48 +67,44 @@
         batch = _decode_batch(line)
         now_ms = batch[NOW]
         replies = []
-        for instance_batch in batch[INSTANCE_BATCHES]:
-            _check_instance_batch(instance_batch)
-            instance_id = instance_batch[INSTANCE_ID]
-            messages = self._answer_instance(instance_id, now_ms, instance_batch[MESSAGES])
+        for router_batch in batch[ROUTER_BATCHES]:
+            _check_router_batch(router_batch)
+            router_id = router_batch[ROUTER_ID]
+            messages = self._answer_router(router_id, now_ms, router_batch[MESSAGES])
             if messages:
-                replies.append({INSTANCE_ID: instance_id, REPLY_MESSAGES: messages})
-        return json.dumps({INSTANCE_BATCHES: replies}, separators=COMPACT_SEPARATORS)
+                replies.append({ROUTER_ID: router_id, REPLY_MESSAGES: messages})
+        return json.dumps({ROUTER_BATCHES: replies}, separators=COMPACT_SEPARATORS)
 
-    def _answer_instance(self, instance_id: int, now_ms: float, messages: list[Any]) -> list[JsonObject]:
-        """The messages in reply to those of one instance, whose events form one batch between restarts."""
+    def _answer_router(self, router_id: int, now_ms: float, messages: list[Any]) -> list[JsonObject]:
+        """The replies to the messages of one router, whose events between restarts are handled together."""
         replies: list[JsonObject] = []
         events: list[Event] = []
         for message in messages:
-            if not isinstance(message, dict) or len(message) != 1:
-                quoted = json.dumps(message)[:MAX_QUOTED_MESSAGE]
-                problem = f"an event is an object with one name: {quoted}"
-                raise InvalidBatchError(problem)
-            [(name, body)] = message.items()
-            if name in (INSTANCE_STARTED, INSTANCE_KILLED):
-                replies += self._handle(instance_id, now_ms, events)
+            name, body = _name_and_body(message)
+            if name in (ROUTER_STARTED, ROUTER_KILLED):
+                replies += self._handle(router_id, now_ms, events)
                 events = []
-                self.routers.pop(instance_id, None)
+                self.routers.pop(router_id, None)
             try:
-                if name == INSTANCE_STARTED:
+                if name == ROUTER_STARTED:
                     settings = parse_settings(body.get(SETTINGS) or {})
-                    self.routers[instance_id] = Router(settings, body[SEED])
-                elif name in READERS and (event := READERS[name](body)) is not None:
+                    self.routers[router_id] = Router(settings, body[SEED])
+                elif name in EVENT_READERS and (event := EVENT_READERS[name](body)) is not None:
                     events.append(event)
             except INVALID_BODY_ERRORS as error:
                 problem = f"{name}: {type(error).__name__}: {error}"
                 raise InvalidBatchError(problem) from None
-        return replies + self._handle(instance_id, now_ms, events)
+        return replies + self._handle(router_id, now_ms, events)
 
-    def _handle(self, instance_id: int, now_ms: float, events: list[Event]) -> list[JsonObject]:
-        """The actions of the instance's router, as messages; a fault in it is reported as one."""
-        if not events or instance_id not in self.routers:
+    def _handle(self, router_id: int, now_ms: float, events: list[Event]) -> list[JsonObject]:
+        """The router's actions as messages, or one message that reports its exception."""
+        if not events or router_id not in self.routers:
             return []
         try:
-            actions = self.routers[instance_id].handle(now_ms, events)
-        except Exception as error:  # noqa: BLE001 (the wire has a message for any fault of the decisions)
+            actions = self.routers[router_id].handle(now_ms, events)
+        except Exception as error:  # noqa: BLE001 (the wire has a message for any exception of the decisions)
             return [write_exception(_describe(error))]
-        return [WRITERS[type(action)](action) for action in actions]
+        return [write_action(action) for action in actions]
 
 
 def _decode_batch(line: str) -> JsonObject:
@@ -114,27 +116,40 @@
     if not isinstance(batch, dict) or not isinstance(batch.get(NOW), int | float):
         problem = f"a batch is an object with a number {NOW!r}"
         raise InvalidBatchError(problem)
-    if not isinstance(batch.get(INSTANCE_BATCHES), list):
-        problem = f"a batch has an array {INSTANCE_BATCHES!r}"
+    if not isinstance(batch.get(ROUTER_BATCHES), list):
+        problem = f"a batch has an array {ROUTER_BATCHES!r}"
         raise InvalidBatchError(problem)
     return batch
 
 
-def _check_instance_batch(value: object) -> None:
-    if not isinstance(value, dict) or INSTANCE_ID not in value or not isinstance(value.get(MESSAGES), list):
-        problem = f"an element of {INSTANCE_BATCHES!r} has {INSTANCE_ID!r} and an array {MESSAGES!r}"
+def _check_router_batch(value: object) -> None:
+    if not isinstance(value, dict) or ROUTER_ID not in value or not isinstance(value.get(MESSAGES), list):
+        problem = f"an element of {ROUTER_BATCHES!r} has {ROUTER_ID!r} and an array {MESSAGES!r}"
+        raise InvalidBatchError(problem)
+
+
+def _name_and_body(message: object) -> tuple[str, Any]:
+    if not isinstance(message, dict) or len(message) != 1:
+        quoted = json.dumps(message)[:MAX_QUOTED_MESSAGE]
+        problem = f"an event is an object with one name: {quoted}"
         raise InvalidBatchError(problem)
+    [(name, body)] = message.items()
+    return name, body
 
 
 def _describe(error: Exception) -> str:
-    """The type of the error, the innermost place it came from, and its text."""
-    place = traceback.extract_tb(error.__traceback__)[-1]
-    return f"{type(error).__name__} in {place.name}, line {place.lineno}: {error}"
+    """The type of an error, the function and line that raised it, and its text."""
+    frame = traceback.extract_tb(error.__traceback__)[-1]
+    return f"{type(error).__name__} in {frame.name}, line {frame.lineno}: {error}"
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    """Answer batches until the input ends; 0, or 2 at a line that is no valid batch."""
-    gc.freeze()  # what the start has made stays: no collection needs to walk it
+    """Answer batches until the input ends.
+
+    Returns:
+        The exit status: 0, or 2 at a line that is no valid batch.
+    """
+    gc.freeze()  # the objects made so far are never freed, so the garbage collector need not visit them
     adapter = SimulatorAdapter()
     for line in source:
         try:
--- a/function_router/simulator_codec.py
+++ b/function_router/simulator_codec.py
@@ -1,12 +1,12 @@
-"""The simulator's wire: JSON messages to events, and actions to JSON messages.
+"""The simulator's wire: JSON messages to events of the decisions, and their actions to JSON messages.
 
-Translation only. A message is an object with one key, the message's name, whose value is its body. Names of
-messages and fields are those of the operator's page on the wire. Absent and null fields have their defaults.
-Times are milliseconds.
+A message is an object with one key, the message's name, whose value is its body. Names of messages and fields
+are those of the operator's page on the wire; what that page calls an instance of the front end is a router
+here. Absent and null fields have their defaults. Times are milliseconds.
 """
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, assert_never
 
 from function_router.decisions.actions import (
     Action,
@@ -32,9 +32,9 @@
 
 JsonObject = dict[str, Any]
 
-# Names of messages that come in.
-INSTANCE_STARTED = "ATTACH"
-INSTANCE_KILLED = "POWER_OFF"
+# Names of incoming messages.
+ROUTER_STARTED = "ATTACH"
+ROUTER_KILLED = "POWER_OFF"
 ENDPOINTS = "TARGETS"
 REQUEST = "NEW_REQUEST"
 REQUEST_CANCELLED = "HANGUP"
@@ -42,7 +42,7 @@
 INSTANCES_REPORT = "RESIDENT"
 TIMER_FIRED = "DEADLINE_HIT"
 
-# Names of messages that go out.
+# Names of outgoing messages.
 SEND = "ATTEMPT"
 CANCEL = "STOP_ATTEMPT"
 REJECT = "SAY_NO"
@@ -60,10 +60,10 @@
 INSTANCES = "how_many"
 OUTCOME = "ending"
 DURATION = "took"
-TIMER_TOKEN = "handle"  # a number that the router selects
+TIMER_TOKEN = "handle"  # a number that the router chooses
 TEXT = "body_text"
 
-# Fields of INSTANCE_STARTED.
+# Fields of ROUTER_STARTED.
 SEED = "init_seed"
 SETTINGS = "config"
 
@@ -77,9 +77,9 @@
 ENDPOINT_SIZE = "units"
 ENDPOINT_STARTED_AT = "up_since"
 
-# Values of LIST_KIND; any other one is a list of what changed.
+# Values of LIST_KIND; any other one is a list of changes, too.
 CHANGES_ONLY = 0
-COMPLETE_LISTS = (1, 2)  # as it is now, and as the instance last held it
+COMPLETE_LISTS = (1, 2)  # the current list, and the one that the router last had
 LIST_UNAVAILABLE = 3
 
 # Fields of REQUEST.
@@ -98,11 +98,11 @@
 LOAD_REPORT = "health_info"
 REMARK = "remark"
 
-# REMARK holds the start kind in its lowest three bits, and above them the requests in flight at the worker.
+# REMARK has the start kind in its lowest three bits, and the number of requests in flight above them.
 START_KIND_MASK = 7
 IN_FLIGHT_SHIFT = 3
 
-# Other fields of what goes out.
+# Other fields of outgoing messages.
 RETRY_AFTER = "hold_off"
 TIMER_DELAY = "sleep_for"
 
@@ -124,7 +124,7 @@
 
 
 def read_endpoints(body: JsonObject) -> EndpointsChanged | None:
-    """The endpoint list or what changed in it; None where it is unavailable and the one before stays."""
+    """The endpoint list or its changes; None where it is unavailable and the previous one stays valid."""
     kind = body.get(LIST_KIND) or CHANGES_ONLY
     if kind == LIST_UNAVAILABLE:
         return None
@@ -149,7 +149,7 @@
 
 
 def read_request_cancelled(body: JsonObject) -> RequestCancelled:
-    """The end of a client's wait."""
+    """A client that no longer waits for its request."""
     return RequestCancelled(body[REQUEST_ID])
 
 
@@ -181,52 +181,44 @@
 
 
 def read_timer_fired(body: JsonObject) -> TimerFired:
-    """A timer that is due."""
+    """A timer that has come due."""
     return TimerFired(body[TIMER_TOKEN])
 
 
-def write_send(action: SendRequest) -> JsonObject:
-    """The message that sends an attempt of a request."""
-    return {SEND: {REQUEST_ID: action.request_id, WORKER_ID: action.worker_id}}
-
-
-def write_cancel(action: CancelAttempt) -> JsonObject:
-    """The message that cancels an attempt."""
-    return {CANCEL: {REQUEST_ID: action.request_id, ATTEMPT_NUMBER: action.attempt_number}}
-
-
-def write_reject(action: RejectRequest) -> JsonObject:
-    """The final answer that a retry is harmless."""
-    return {REJECT: {REQUEST_ID: action.request_id, RETRY_AFTER: action.retry_after_ms}}
-
-
-def write_fail(action: FailRequest) -> JsonObject:
-    """The final answer that promises nothing."""
-    return {FAIL: {REQUEST_ID: action.request_id}}
-
-
-def write_ensure_instances(action: EnsureInstances) -> JsonObject:
-    """A start order, or a probe."""
-    body = {WORKER_ID: action.worker_id, FUNCTION: action.function, INSTANCES: action.instances}
-    return {ENSURE_INSTANCES: body}
-
-
-def write_set_timer(action: SetTimer) -> JsonObject:
-    """The message that sets a timer."""
-    return {SET_TIMER: {TIMER_DELAY: action.delay_ms, TIMER_TOKEN: action.token}}
-
-
-def write_log(action: LogMessage) -> JsonObject:
-    """A line for the log."""
-    return {LOG: {TEXT: action.text}}
+def write_action(action: Action) -> JsonObject:  # noqa: PLR0911 (one for each action)
+    """The message that has the simulator carry out an action; mypy reports an action that has none."""
+    match action:
+        case SendRequest():
+            return {SEND: {REQUEST_ID: action.request_id, WORKER_ID: action.worker_id}}
+        case CancelAttempt():
+            return {CANCEL: {REQUEST_ID: action.request_id, ATTEMPT_NUMBER: action.attempt_number}}
+        case RejectRequest():
+            return {REJECT: {REQUEST_ID: action.request_id, RETRY_AFTER: action.retry_after_ms}}
+        case FailRequest():
+            return {FAIL: {REQUEST_ID: action.request_id}}
+        case EnsureInstances():
+            return {
+                ENSURE_INSTANCES: {
+                    WORKER_ID: action.worker_id,
+                    FUNCTION: action.function,
+                    INSTANCES: action.instances,
+                }
+            }
+        case SetTimer():
+            return {SET_TIMER: {TIMER_DELAY: action.delay_ms, TIMER_TOKEN: action.token}}
+        case LogMessage():
+            return {LOG: {TEXT: action.text}}
+        case _:
+            assert_never(action)
 
 
 def write_exception(text: str) -> JsonObject:
-    """The report that the decisions have failed."""
+    """The message that reports an exception of the decisions."""
     return {EXCEPTION: {TEXT: text}}
 
 
-READERS: dict[str, Callable[[JsonObject], Event | None]] = {
+# By the name of the message. Messages with other names are ignored.
+EVENT_READERS: dict[str, Callable[[JsonObject], Event | None]] = {
     ENDPOINTS: read_endpoints,
     REQUEST: read_request,
     REQUEST_CANCELLED: read_request_cancelled,
@@ -234,13 +226,3 @@
     INSTANCES_REPORT: read_instances_report,
     TIMER_FIRED: read_timer_fired,
 }
-
-WRITERS: dict[type[Action], Callable[[Any], JsonObject]] = {
-    SendRequest: write_send,
-    CancelAttempt: write_cancel,
-    RejectRequest: write_reject,
-    FailRequest: write_fail,
-    EnsureInstances: write_ensure_instances,
-    SetTimer: write_set_timer,
-    LogMessage: write_log,
-}
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -44,14 +44,14 @@
 }
 
 
-def batch(now_ms, *instances):
-    """A line with the messages of each instance."""
-    ends = [{"who": instance, "inbox": messages} for instance, messages in instances]
+def batch(now_ms, *router_messages):
+    """A line with the messages of each router, given as pairs of its id and its messages."""
+    ends = [{"who": router_id, "inbox": messages} for router_id, messages in router_messages]
     return json.dumps({"wall": now_ms, "ends": ends})
 
 
-def start_instance(workers=(11, 12, 13)):
-    """The messages that start an instance with these workers."""
+def router_start(workers=(11, 12, 13)):
+    """The messages that start a router with these workers."""
     entries = [
         {"worker": worker, "state": 1, "up_since": None, "stripe": 0, "units": 1} for worker in workers
     ]
@@ -84,9 +84,9 @@
     return [json.loads(line) for line in process.stdout.splitlines()], process.stderr
 
 
-def short_day(*instances):
-    """Lines with requests for many functions at each of the instances."""
-    lines = [batch(100.0, *((instance, start_instance()) for instance in instances))]
+def short_day(*router_ids):
+    """Lines with requests for many functions at each of the routers."""
+    lines = [batch(100.0, *((router_id, router_start()) for router_id in router_ids))]
     for number in range(30):
         function = f"fn:{number % 7}"
         messages = [request(f"t/{number}", function, load_ms=None, per_copy=2)]
@@ -95,13 +95,13 @@
         if number > 20:
             report = {"worker": 12, "fn": function, "ending": "GOOD", "how_many": 2, "took": 9.0}
             messages.append({"RESIDENT": report})
-        lines.append(batch(110.0 + 20 * number, *((instance, messages) for instance in instances)))
+        lines.append(batch(110.0 + 20 * number, *((router_id, messages) for router_id in router_ids)))
     return lines
 
 
-def messages_of(replies, instance):
-    """The messages of one instance in each reply in which it has any."""
-    return [end["steps"] for reply in replies for end in reply["ends"] if end["who"] == instance]
+def messages_of(replies, router_id):
+    """The messages of one router in each reply in which it has any."""
+    return [end["steps"] for reply in replies for end in reply["ends"] if end["who"] == router_id]
 
 
 def test_empty_batch_has_an_empty_reply_and_the_end_of_the_input_is_no_error():
@@ -111,21 +111,27 @@
 
 
 def test_request_is_probed_sent_and_closed():
-    lines = [batch(100.0, (3, [*start_instance(), request("t/x")]))]
+    lines = [batch(100.0, (3, [*router_start(), request("t/x")]))]
+
     first_messages = messages_of(run_adapter(*lines)[0], 3)[0]
     probes = [message["MOUNT"] for message in first_messages if "MOUNT" in message]
+
     assert probes
     assert all(probe["how_many"] == 0 and probe["fn"] == "fn:a" for probe in probes)
 
     worker_id = probes[0]["worker"]
     report = {"worker": worker_id, "fn": "fn:a", "ending": "GOOD", "how_many": 1, "took": 1.0}
     lines.append(batch(101.0, (3, [{"RESIDENT": report}])))
+
     second_messages = messages_of(run_adapter(*lines)[0], 3)[1]
+
     assert {"ATTEMPT": {"tid": "t/x", "worker": worker_id}} in second_messages
 
     ended = {"tid": "t/x", "ending": "GOOD", "took": 5.0, "ended": True, "try": 0, **report}
     lines.append(batch(106.0, (3, [{"RESOLVED": {**ended, "remark": None, "health_info": None}}])))
+
     later_messages = messages_of(run_adapter(*lines)[0], 3)[2:]
+
     assert not [messages for messages in later_messages if any("ATTEMPT" in message for message in messages)]
 
 
@@ -137,7 +143,7 @@
     assert sum(len(messages) for messages in messages_of(first, 0)) > 30
 
 
-def test_actions_do_not_depend_on_the_process_that_hosts_an_instance():
+def test_actions_do_not_depend_on_what_else_the_process_hosts():
     alone, _ = run_adapter(*short_day(1))
     shared, _ = run_adapter(*short_day(0, 1, 2))
 
@@ -159,7 +165,7 @@
     ]
 
     replies, errors = run_adapter(
-        batch(5.0, (0, [*start_instance(), *unusual])),
+        batch(5.0, (0, [*router_start(), *unusual])),
         batch(6.0, (0, [])),
         batch(7.0, (9, unusual[2:3])),
     )
@@ -169,10 +175,10 @@
     assert {"SAY_NO": {"tid": "t/late", "hold_off": 0.0}} in messages_of(replies, 0)[0]
 
 
-def test_restarted_instance_has_no_state_of_the_one_before():
+def test_restarted_router_has_no_state_of_the_one_before():
     replies, _ = run_adapter(
-        batch(1.0, (0, [*start_instance(), request("t/a")])),
-        batch(2.0, (0, [{"POWER_OFF": {}}, *start_instance(), request("t/b")])),
+        batch(1.0, (0, [*router_start(), request("t/a")])),
+        batch(2.0, (0, [{"POWER_OFF": {}}, *router_start(), request("t/b")])),
         batch(2500.0, (0, [{"DEADLINE_HIT": {"handle": 0}}])),
     )
 
@@ -200,7 +206,7 @@
 def test_exception_in_the_decisions_is_reported_with_type_and_place():
     faulty = {"NEW_REQUEST": {"tid": "t/x", "service": "score", "fn": "fn:a", "time_budget": "soon"}}
 
-    replies, _ = run_adapter(batch(1.0, (0, [*start_instance(), faulty])))
+    replies, _ = run_adapter(batch(1.0, (0, [*router_start(), faulty])))
 
     [[message]] = messages_of(replies, 0)
     assert "TypeError" in message["EXCEPTION"]["body_text"]
@@ -220,6 +226,13 @@
         return list(self.actions)
 
 
+def adapter_with(router):
+    """An adapter that hosts this router as number 3."""
+    adapter = SimulatorAdapter()
+    adapter.routers[3] = router
+    return adapter
+
+
 # One of each action, and the message that it becomes.
 WRITTEN_ACTIONS = [
     (SendRequest("t/x", 11), {"ATTEMPT": {"tid": "t/x", "worker": 11}}),
@@ -316,8 +329,7 @@
 
 @pytest.mark.parametrize(("action", "message"), WRITTEN_ACTIONS)
 def test_action_is_written_as_its_message(action, message):
-    adapter = SimulatorAdapter()
-    adapter.routers[3] = RecordingRouter(action)
+    adapter = adapter_with(RecordingRouter(action))
 
     reply = adapter.answer(batch(1.0, (3, [{"DEADLINE_HIT": {"handle": 0}}])))
 
@@ -330,11 +342,9 @@
 
 @pytest.mark.parametrize(("message", "event"), READ_EVENTS)
 def test_message_is_read_as_its_event(message, event):
-    adapter = SimulatorAdapter()
     router = RecordingRouter()
-    adapter.routers[3] = router
 
-    adapter.answer(batch(1.0, (3, [message])))
+    adapter_with(router).answer(batch(1.0, (3, [message])))
 
     assert router.events == [event]
 
@@ -344,10 +354,8 @@
 
 
 def test_unavailable_endpoint_list_is_no_event():
-    adapter = SimulatorAdapter()
     router = RecordingRouter()
-    adapter.routers[3] = router
 
-    adapter.answer(batch(1.0, (3, [{"TARGETS": {"kind": 3, "entries": None}}])))
+    adapter_with(router).answer(batch(1.0, (3, [{"TARGETS": {"kind": 3, "entries": None}}])))
 
     assert router.events == []
