--- a/function_router/net/endpoint_registry.py
+++ b/function_router/net/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The workers that the endpoint list names: their ids, addresses and states as last notified."""
+"""The endpoint list as last received: ids, addresses and states of the workers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,10 +12,11 @@
 from function_router.net.start_times import StartTimes
 from function_router.net.worker_pool import WorkerPool
 
-# Bytes of a worker id: enough for the workers of one list to have different ones.
+# Bytes of a worker id: enough for the ids in one list to differ.
 WORKER_ID_BYTES = 4
-LOG_SOURCE = "endpoints"  # these lines have a rate limit of their own
-# The key of the address in an endpoint record, for the text of an error.
+# These log lines have a rate limit of their own.
+LOG_SOURCE = "endpoints"
+# The key of the address in an endpoint record, for error messages.
 ADDRESS_FIELD = "host_port"
 
 _STATES_BY_PHASE = {
@@ -26,16 +27,16 @@
 
 
 def worker_id_of(name: str) -> int:
-    """The number of the worker that has this name; the same in every router, as the hash orders use it."""
+    """The id of the worker with this name. It is the same in every router, as rendezvous hashing needs."""
     return hash_name(name, WORKER_ID_BYTES)
 
 
 @dataclass(frozen=True, slots=True)
 class AddressedEndpoint:
-    """An endpoint for the decisions, and the address that only the network needs."""
+    """An endpoint for the decisions, with the address that only the network needs."""
 
     endpoint: Endpoint
-    address: Address | None  # None: not given, and unchanged if it was before
+    address: Address | None  # None: not in the record; an earlier one stays valid
 
     @classmethod
     def from_record(cls, record: EndpointRecord) -> "AddressedEndpoint":
@@ -62,7 +63,7 @@
 
 
 class EndpointRegistry:
-    """Keeps the endpoint list, and passes its changes on to the worker pool and to the decisions."""
+    """Keeps the endpoint list, and passes its changes on to the worker pool and the decisions."""
 
     def __init__(
         self,
@@ -71,40 +72,49 @@
         start_times: StartTimes,
         log: Callable[[str, str], None],
     ) -> None:
-        """Keep the list for `pool`; `log` takes a text and its source."""
+        """Start with an empty list.
+
+        Args:
+            pool: the worker pool, which is updated directly.
+            on_changed: called with the changes for the decisions.
+            start_times: converts start times to the clock of the decisions.
+            log: called with the text of a log line and its source.
+        """
         self._pool = pool
+        self._on_changed = on_changed
         self._start_times = start_times
         self._log = log
-        self._has_list = False  # the first one is not logged
-        self._on_changed = on_changed
+        self._has_list = False  # the first list is not logged
         self._endpoints: dict[int, Endpoint] = {}  # by worker id, without the removed ones
 
     def apply(self, endpoint_list: EndpointList) -> None:
-        """Take over a complete list, or the changed endpoints of one.
+        """Apply a complete list or a list of changed endpoints.
 
         Raises:
-            ConfigurationError: The list has an invalid address; nothing of it is taken over.
+            ConfigurationError: The list has an invalid address; none of it is applied.
         """
-        notified = [AddressedEndpoint.from_record(record) for record in endpoint_list.members]
+        received = [AddressedEndpoint.from_record(record) for record in endpoint_list.members]
         if endpoint_list.complete:
-            self._remove_all_except({item.endpoint.worker_id for item in notified})
+            self._remove_all_except({item.endpoint.worker_id for item in received})
         changed: list[Endpoint] = []
-        for item in notified:
+        for item in received:
             changed += self._update(item)
         self._endpoints = {
             worker_id: endpoint
             for worker_id, endpoint in self._endpoints.items()
             if endpoint.state is not WorkerState.REMOVED
         }
-        is_news = self._has_list and not endpoint_list.complete
+        is_live_update = self._has_list and not endpoint_list.complete
         self._has_list = True
-        decided = [self._for_decisions(endpoint, is_news=is_news) for endpoint in changed]
-        self._on_changed(EndpointsChanged(decided, endpoint_list.complete))
+        converted = [self._for_decisions(endpoint, is_live_update=is_live_update) for endpoint in changed]
+        self._on_changed(EndpointsChanged(converted, endpoint_list.complete))
 
-    def _for_decisions(self, endpoint: Endpoint, *, is_news: bool) -> Endpoint:
-        """The endpoint with its start on the clock of the decisions."""
+    def _for_decisions(self, endpoint: Endpoint, *, is_live_update: bool) -> Endpoint:
+        """The endpoint with its start time on the clock of the decisions."""
         worker_id = endpoint.worker_id
-        started_at_ms = self._start_times.convert(worker_id, endpoint.started_at_ms, is_news=is_news)
+        started_at_ms = self._start_times.convert(
+            worker_id, endpoint.started_at_ms, is_live_update=is_live_update
+        )
         if endpoint.state is WorkerState.REMOVED:
             self._start_times.forget(worker_id)
         return replace(endpoint, started_at_ms=started_at_ms)
@@ -116,11 +126,11 @@
         }
 
     def _update(self, item: AddressedEndpoint) -> list[Endpoint]:
-        """Store an endpoint; all that changed by it, those that it displaces at its address first.
+        """Store an endpoint and return all that changed: first those that it displaces at its address.
 
-        Of the workers at one address, only the one started last is there, though the list may name the
-        others as removed only later. Requests for an earlier process must not reach the new one, whose
-        instances are all cold.
+        Of several workers at one address, only the one started last still runs; the list may report the
+        others as removed later. Requests for an earlier process must not reach the new one, which has no
+        warm instances.
         """
         endpoint = item.endpoint
         displaced = self._others_at_address(item)
@@ -137,17 +147,20 @@
         return [*removed, endpoint]
 
     def _store(self, endpoint: Endpoint) -> None:
-        """Keep an endpoint, and log it where its state or its process has changed."""
-        known = self._endpoints.get(endpoint.worker_id)
+        """Store an endpoint, and log it where its state or its process has changed."""
+        previous = self._endpoints.get(endpoint.worker_id)
         self._endpoints[endpoint.worker_id] = endpoint
-        state = (endpoint.state, endpoint.started_at_ms)
-        is_same = known is not None and (known.state, known.started_at_ms) == state
-        if self._has_list and not is_same:
+        is_unchanged = (
+            previous is not None
+            and previous.state is endpoint.state
+            and previous.started_at_ms == endpoint.started_at_ms
+        )
+        if self._has_list and not is_unchanged:
             started = f", started at {endpoint.started_at_ms:.0f}" if endpoint.started_at_ms else ""
             self._log(f"worker {endpoint.worker_id} is {endpoint.state.name}{started}", LOG_SOURCE)
 
     def _others_at_address(self, item: AddressedEndpoint) -> list[Endpoint]:
-        """The other workers at the address of a ready one."""
+        """The other workers at the endpoint's address, if it is ready."""
         if item.endpoint.state is not WorkerState.READY or item.address is None:
             return []
         return [
--- a/function_router/net/invariants.py
+++ b/function_router/net/invariants.py
@@ -1,24 +1,25 @@
 """Run-time checks of the rules that a router has to keep: violations are counted and logged.
 
-A check looks at what has happened, not at what was decided. It changes nothing: a violation is a fault of the
-program, which its log and its counters show and the soak test counts.
+A check concerns what has happened, not what was decided, and changes nothing. A violation is a fault of the
+program; the log and the counters show it, and the soak test counts it.
 """
 
 from collections import Counter
 from collections.abc import Callable
 from enum import StrEnum
 
-LOG_SOURCE = "invariants"  # these lines have a rate limit of their own
+# These log lines have a rate limit of their own.
+LOG_SOURCE = "invariants"
 LOG_PREFIX = "invariant violated"
 
-# How much later than its deadline an answer may leave: a turn that was held up. Later ones are counted.
+# How long after its deadline an answer may leave, as an iteration of the event loop may stall.
 MAX_LATENESS_MS = 400.0
-# How much more time than its client has left an attempt may state; the operator's slack is 150 ms.
+# How much longer an attempt's timeout may be than its client's remaining time. The operator allows 150 ms.
 MAX_TIMEOUT_EXCESS_MS = 100.0
 
 
 class Invariant(StrEnum):
-    """What has to hold."""
+    """A rule that has to hold; the values are what the log calls it."""
 
     ONE_ANSWER = "each request gets one final answer"
     ANSWERED_IN_TIME = "the final answer leaves in time"
@@ -31,7 +32,7 @@
     """Counts and logs violations.
 
     Attributes:
-        violations: how many there were of each invariant since the start.
+        violations: the number of violations of each invariant since the start.
     """
 
     def __init__(self, log: Callable[[str, str], None]) -> None:
--- a/function_router/net/log.py
+++ b/function_router/net/log.py
@@ -14,52 +14,52 @@
 
 
 class RateLimitedLog:
-    """A log that no peer can make grow without bound: what exceeds the rate is counted in place of written.
+    """A log that no peer can grow without bound: lines beyond the rate are counted instead of written.
 
-    Each source has its own share of lines, so that errors of clients do not hide those of workers.
+    Each source has a rate limit of its own, so that errors of clients do not hide those of workers.
     """
 
     def __init__(
         self, name: str, out: TextIO | None = None, read_monotonic_ms: Callable[[], float] = monotonic_ms
     ) -> None:
-        """Write lines that begin with `name` to `out`, or else to standard error."""
+        """Write lines that begin with `name` to `out`; None: to standard error."""
         self._name = name
         self._output = _output_to(out or sys.stderr)
         self._read_monotonic_ms = read_monotonic_ms
-        self._second = 0  # the one that is being counted, on the monotonic clock
-        self._left_out = 0  # lines since the last line that counts them
-        self._lines_by_source: dict[str, int] = {}  # in that second
+        self._second = 0  # the current one, on the monotonic clock
+        self._dropped_count = 0  # lines dropped since that was last logged
+        self._lines_by_source: dict[str, int] = {}  # in the current second
 
     def __call__(self, text: str, source: str = "") -> None:
-        """Write a line, or count it where its source has used up its share of this second."""
+        """Write a line, or drop and count it where its source has reached its limit for this second."""
         second = int(self._read_monotonic_ms() // 1000)
         if second != self._second:
             self._begin_second(second)
         lines = self._lines_by_source.get(source, 0) + 1
         self._lines_by_source[source] = lines
         if lines > MAX_LINES_PER_SECOND or not self._write(text):
-            self._left_out += 1
+            self._dropped_count += 1
 
     def _begin_second(self, second: int) -> None:
-        if self._left_out and self._write(f"{self._left_out} lines left out"):
-            self._left_out = 0
+        if self._dropped_count and self._write(f"{self._dropped_count} lines dropped"):
+            self._dropped_count = 0
         self._second = second
         self._lines_by_source = {}
 
     def _write(self, text: str) -> bool:
-        """Write text as one line; False where it can't be written now.
+        """Write the text as one line; return False where that is not possible now.
 
         Characters that could forge another line are replaced.
         """
         line = "".join(char if char.isprintable() else "?" for char in text[:MAX_LINE_LENGTH])
         try:
             return self._output(f"{self._name}: {line}\n")
-        except OSError:  # a log that nobody reads is no reason to stop serving
+        except OSError:  # the router goes on serving without a log
             return False
 
 
 def _output_to(out: TextIO | None) -> Callable[[str], bool]:
-    """A function that writes a line, and tells whether it did; without a file, lines are dropped."""
+    """A function that writes a line and returns whether it did; without a file, lines are dropped."""
     if out is None:
         return lambda _line: False
     try:
@@ -70,10 +70,10 @@
 
 
 def _write_without_blocking(descriptor: int, line: str) -> bool:
-    """Write a line unless that would block, as it does on a pipe that is full.
+    """Write a line unless that would block, as on a full pipe; return whether it was written.
 
-    The descriptor itself may be shared with other processes, so that it is not set to non-blocking. A pipe
-    that can be written to takes PIPE_BUF bytes without blocking (pipe(7)).
+    The descriptor is not set to non-blocking, as other processes may share it. A pipe that poll(2) reports
+    as writable takes PIPE_BUF bytes without blocking (pipe(7)).
     """
     poll = select.poll()
     poll.register(descriptor, select.POLLOUT)
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -147,7 +147,7 @@
     assert changed == [(worker_id_of("s-2"), WorkerState.DRAINING)]
 
 
-def test_new_worker_at_the_address_of_one_not_yet_notified_as_removed_is_there_alone(start_router):
+def test_new_worker_replaces_the_one_at_its_address_that_is_not_reported_as_removed_yet(start_router):
     old = FakeWorker("s-1")
     old_id = worker_id_of("s-1")
     new_id = worker_id_of("s-2")
@@ -207,27 +207,27 @@
     ]
 
 
-# --- start times, which are of a wall clock that may be wrong -----------------------------------------
+# --- start times, by a wall clock that may be wrong
 
 
-def notify_of_start(start_router, started_ago_ms):
-    """A router that is notified of a start; how long ago that was by the clock of its decisions."""
+def age_after_start_event(start_router, started_ago_ms):
+    """How long ago a start that a new event reports was, by the clock of the decisions."""
     worker = FakeWorker()
     harness = start_router(worker)
     up_since_ms = clock.unix_ms() - started_ago_ms
     harness.endpoint_log.send_line(endpoint_event(2, worker.record(up_since_ms=up_since_ms)))
     decided = harness.router_process.router.fleet.workers.by_id[worker.worker_id]
-    harness.run_until(lambda: decided.started_ms is not None, "it is notified of the start")
+    harness.run_until(lambda: decided.started_ms is not None, "the start is known")
     return harness.router_process.loop.clock.now_ms() - decided.started_ms
 
 
 def test_start_in_the_future_counts_from_now(start_router):
-    assert 0.0 <= notify_of_start(start_router, -3_600_000.0) < 1_000.0
+    assert 0.0 <= age_after_start_event(start_router, -3_600_000.0) < 1_000.0
 
 
-def test_start_that_is_news_was_not_long_ago_whatever_the_wall_clock_says(start_router):
-    assert 0.0 <= notify_of_start(start_router, 3_600_000.0) < 1_000.0
+def test_start_in_a_live_update_was_not_long_ago_whatever_the_wall_clock_says(start_router):
+    assert 0.0 <= age_after_start_event(start_router, 3_600_000.0) < 1_000.0
 
 
 def test_start_some_seconds_ago_counts_from_then(start_router):
-    assert 4_900.0 <= notify_of_start(start_router, 5_000.0) < 6_000.0
+    assert 4_900.0 <= age_after_start_event(start_router, 5_000.0) < 6_000.0
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -27,7 +27,7 @@
     return RateLimitedLog("n1", out, clock.read_ms)
 
 
-def test_lines_beyond_the_rate_are_left_out_and_counted(clock, out, log):
+def test_lines_beyond_the_rate_are_dropped_and_counted(clock, out, log):
     for _ in range(1000):
         log("x\ny" * 1000)
     clock.now_ms = 1000.0
@@ -35,7 +35,7 @@
 
     lines = out.getvalue().splitlines()
     assert len(lines) == MAX_LINES_PER_SECOND + 2
-    assert lines[-2:] == ["n1: 980 lines left out", "n1: after"]
+    assert lines[-2:] == ["n1: 980 lines dropped", "n1: after"]
 
 
 def test_flood_from_one_source_does_not_hide_another_source(out, log):
