--- a/function_router/config/__init__.py
+++ b/function_router/config/__init__.py
@@ -1,30 +1,28 @@
-"""Reads the router's configuration and settings, checks them and fills in the defaults.
+"""Reads the router's configuration, checks it and fills in the defaults.
 
-Both hosts of the decisions use this package: the simulator adapter for the settings of an instance, the
-router process for its whole configuration. Unknown keys are ignored, absent and null ones keep their
+Both hosts of the decisions use this package: the router process for its whole configuration, the simulator
+adapter for the settings of each simulated router. Unknown keys are ignored, absent and null ones have their
 defaults, and an invalid one raises `ConfigurationError`, whose text starts with the key.
 
-`schema` holds the JSON as the operator's pages name it, `types` what the program works with, and `loader`
-reads the one and makes the other.
+`schema` describes the JSON in the words of the operator's pages, `types` the configuration in the program's.
+`loader` reads the file and the environment, `parsing` checks values, and `conversion` gets from one to the
+other. The modules outside this package import from here.
 """
 
-from function_router.config.loader import (
-    load,
-    parse_address,
-    parse_config,
-    parse_endpoint_list,
-    parse_settings,
-)
-from function_router.config.schema import EndpointList, EndpointRecord
-from function_router.config.types import (
-    Address,
-    ConfigurationError,
-    RouterConfig,
-    TransportSettings,
-    UnreadableFileError,
+from function_router.config.errors import ConfigurationError, UnreadableFileError
+from function_router.config.loader import load, parse_config, parse_endpoint_list, parse_settings
+from function_router.config.parsing import parse_address
+from function_router.config.schema import (
+    INITIAL_EVENTS_KEY,
+    LISTEN_KEY,
+    EndpointList,
+    EndpointRecord,
 )
+from function_router.config.types import Address, RouterConfig, TransportSettings
 
 __all__ = [
+    "INITIAL_EVENTS_KEY",
+    "LISTEN_KEY",
     "Address",
     "ConfigurationError",
     "EndpointList",
--- a/function_router/config/schema.py
+++ b/function_router/config/schema.py
@@ -1,7 +1,7 @@
-"""The JSON of the configuration, the settings and the endpoint list, named as the operator's pages name it.
+"""The JSON of the configuration, the settings and the endpoint list, in the words of the operator's pages.
 
-Each attribute is a key of the JSON. Keys that the router does not use are left out; msgspec ignores them.
-Times are milliseconds.
+Each attribute is a key of the JSON. Keys that the router does not use are not listed; msgspec ignores them.
+Times are milliseconds. `function_router.config.conversion` translates to the program's own names.
 """
 
 from typing import Annotated, Any, Literal
@@ -16,13 +16,23 @@
 NonNegativeFloat = Annotated[float, Meta(ge=0)]
 Milliseconds = NonNegativeFloat
 
+# Keys that error messages name.
+ENDPOINT_LIST_KEY = "fleet"
+ENDPOINT_LOG_KEY = "changelog"
+INITIAL_EVENTS_KEY = "known.results"
+LISTEN_KEY = "listen"
+SEED_KEY = "seed"
+SETTINGS_KEY = "settings"
+# Takes the place of a key in an error of the file as a whole.
+WHOLE_FILE = "configuration"
+
 # Fewer sockets leave no useful share for the connections to workers and those of clients.
 MIN_SOCKETS = 32
 
-# Values of `weight_source` with which the size of an endpoint is that of its machine, and stays.
+# Values of `weight_source` with which an endpoint's size is that of its machine and never changes.
 FIXED_WEIGHT_SOURCES = ("nominal", "rough")
 
-# The value of `not_loaded` with which a request that finds no instance starts one.
+# The value of `not_loaded` with which a request starts an instance by itself where there is none.
 START_ON_REQUEST = "load"
 
 
@@ -43,11 +53,11 @@
     """A tenant: an element of `settings.tenants`."""
 
     name: str
-    quota_rps: NonNegativeFloat | None = None  # of all routers together; None: no quota
+    quota_rps: NonNegativeFloat | None = None  # requests/s at all routers together; None: no quota
 
 
 class BoundsSection(Struct):
-    """What a router may do: `settings.bounds`."""
+    """Limits on what a router may do: `settings.bounds`."""
 
     cancel: bool = True
     second_copies: bool = True
@@ -74,7 +84,7 @@
 
 
 class InvariantsSection(Struct):
-    """The rules on workers in slow start: `settings.invariants`."""
+    """Rules for workers in slow start: `settings.invariants`."""
 
     cold: Milliseconds = 10_000.0
     cold_share: NonNegativeFloat = 0.2
@@ -83,13 +93,13 @@
 
 
 class CostsSection(Struct):
-    """What the score takes off for: `settings.costs`."""
+    """What the operator charges for: `settings.costs`."""
 
-    handshake: NonNegativeFloat = 0.0
+    handshake: NonNegativeFloat = 0.0  # of a connection to a worker
 
 
 class SettingsSection(Struct):
-    """The settings of an instance: `settings`, and `config` on the simulator's wire."""
+    """The settings of a router: `settings`, and `config` on the simulator's wire."""
 
     classes: list[ClassSection] = []
     tenants: list[TenantSection] = []
@@ -104,7 +114,7 @@
 
 
 class LimitsSection(Struct):
-    """What the machine gives the process: `limits`."""
+    """Resources of the machine that the process may use: `limits`."""
 
     cores: NonNegativeFloat = 1.0
     memory_mb: PositiveInt = 192
@@ -131,7 +141,7 @@
 
 
 class EndpointRecord(Struct, frozen=True):
-    """A worker as an event of the endpoint log gives it: an element of `fleet.members`."""
+    """A worker in an event of the endpoint log: an element of `fleet.members`."""
 
     id: str
     phase: Literal["in_service", "terminating", "terminated"]
@@ -140,12 +150,12 @@
     flavor: str = ""
     cell: int = 0
     size: float = 1.0
-    up_since_ms: float = 0.0  # Unix time of a late start; 0: long past
+    up_since_ms: float = 0.0  # Unix time of a recent start; 0: started long ago
 
 
 class EndpointList(Struct, frozen=True):
     """The list in an event of the endpoint log: `fleet`."""
 
     members: list[EndpointRecord]
-    complete: bool = False  # False: changed members only
+    complete: bool = False  # False: only members that changed
     revision: int = 0
--- a/function_router/errors.py
+++ b/function_router/errors.py
@@ -1,4 +1,4 @@
-"""The root of the errors that this package raises on purpose."""
+"""The base class of the errors that this package raises."""
 
 
 class FunctionRouterError(Exception):
--- a/function_router/net/router_process.py
+++ b/function_router/net/router_process.py
@@ -4,7 +4,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from function_router.config import Address, ConfigurationError, RouterConfig, UnreadableFileError
+from function_router.config import (
+    INITIAL_EVENTS_KEY,
+    Address,
+    ConfigurationError,
+    RouterConfig,
+    UnreadableFileError,
+)
 from function_router.decisions.actions import (
     Action,
     CancelAttempt,
@@ -66,7 +72,7 @@
 RECOVERY_TIMER_TOKEN = 0
 
 # Keys of the configuration that a reload leaves as they are.
-RESTART_ONLY_KEYS = ("name", "listen", "memory_mb", "max_sockets", "settings", "wire")
+RESTART_ONLY_KEYS = ("name", "listen", "memory_mb", "max_sockets", "settings", "transport")
 
 # Of an invalid event, in the text of an error.
 MAX_EVENT_TEXT = 80
@@ -95,7 +101,7 @@
         log: RateLimitedLog | None = None,
         reread: Callable[[], RouterConfig] | None = None,
     ) -> None:
-        wire = config.wire
+        wire = config.transport
         classes = config.settings.classes
         self.config = config
         self.log = log or RateLimitedLog(config.name or DEFAULT_LOG_NAME)
@@ -135,11 +141,11 @@
 
     def _apply_known_events(self) -> None:
         """Apply the events that the configuration brings, so that workers are known from the start."""
-        for event in self.config.known_events:
+        for event in self.config.initial_events:
             if not self.endpoint_watch.apply_event(event, is_initial=True):
-                message = f"known.results: not an event: {str(event)[:MAX_EVENT_TEXT]}"
-                raise ConfigurationError(message)
-        self.endpoint_watch.advance_to(self.config.known_seq)
+                problem = f"not an event: {str(event)[:MAX_EVENT_TEXT]}"
+                raise ConfigurationError(INITIAL_EVENTS_KEY, problem)
+        self.endpoint_watch.advance_to(self.config.initial_sequence)
 
     @property
     def address(self) -> Address:
--- a/function_router/server.py
+++ b/function_router/server.py
@@ -1,11 +1,13 @@
-"""Serves from a configuration file to an exit status, for the command line and the direct entry point."""
+"""Runs one router, from its configuration file to an exit status.
+
+Both `function_router.cli` and `function_router.__main__` use it; it imports no command-line library.
+"""
 
 import gc
 import signal
 import sys
 
 from function_router import config as configuration
-from function_router.config.loader import LISTEN_KEY
 from function_router.net.router_process import RouterProcess
 from function_router.net.transient_errors import retry_at_start
 
@@ -14,11 +16,11 @@
 
 
 def serve(path: str | None = None) -> int:
-    """Serve until SIGTERM, from the file at `path` or where ROUTER_CONFIG says.
+    """Serve until SIGTERM, configured by the file at `path` or else the one that ROUTER_CONFIG names.
 
     Returns:
-        The exit status: 0 when all that was admitted is answered, 2 when the configuration is invalid, in
-        which case its key is named on standard error.
+        The exit status: 0 once all admitted requests are answered, 2 if the configuration is invalid; the
+        key is then named on standard error.
     """
     # SIGHUP stays blocked until the event loop has its handlers.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
@@ -27,13 +29,13 @@
     except configuration.ConfigurationError as error:
         print(f"function-router: {error}", file=sys.stderr)
         return EXIT_INVALID_CONFIGURATION
-    gc.freeze()  # what the start has made stays: no collection needs to walk it
+    gc.freeze()  # the objects made so far are never freed, so the garbage collector need not visit them
     router.serve()
     return EXIT_OK
 
 
 def _create_router(path: str | None) -> RouterProcess:
-    """The router process, which reads the configuration again on SIGHUP.
+    """Create the router process, which reads the configuration again at SIGHUP.
 
     Raises:
         ConfigurationError: The configuration is invalid, or its listen address can't be bound.
@@ -43,4 +45,4 @@
         return retry_at_start(lambda: RouterProcess(config, reread=lambda: configuration.load(path)))
     except OSError as error:
         problem = f"{error.strerror}: {config.listen}"
-        raise configuration.ConfigurationError.at(LISTEN_KEY, problem) from None
+        raise configuration.ConfigurationError(configuration.LISTEN_KEY, problem) from None
--- a/tests/net/test_router_process.py
+++ b/tests/net/test_router_process.py
@@ -168,7 +168,7 @@
 
 def test_reload_of_a_faulty_configuration_changes_nothing(harness):
     connection = harness.router_process.endpoint_watch._connection
-    harness.router_process._reread = mock.Mock(side_effect=ConfigurationError("listen: missing"))
+    harness.router_process._reread = mock.Mock(side_effect=ConfigurationError("listen", "missing"))
 
     harness.router_process.reload()
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -24,8 +24,8 @@
     config = parse_config(VALID | {"name": None}, {})
 
     assert (config.listen, config.name, config.seed) == (("127.0.0.1", 0), "", 0x8C1F)
-    assert (config.memory_mb, config.max_sockets, config.known_seq) == (192, 1024, 0)
-    assert config.wire.keepalive_ms == 15_000.0
+    assert (config.memory_mb, config.max_sockets, config.initial_sequence) == (192, 1024, 0)
+    assert config.transport.keepalive_ms == 15_000.0
 
 
 def test_environment_takes_precedence_over_listen_and_name():
@@ -60,7 +60,24 @@
     with pytest.raises(ConfigurationError) as caught:
         parse_config(VALID | change, {})
 
-    assert str(caught.value).startswith(key + ":"), str(caught.value)
+    assert caught.value.key == key
+    assert str(caught.value) == f"{key}: {caught.value.problem}"
+
+
+@pytest.mark.parametrize(
+    ("change", "allowed_range"),
+    [
+        ({"listen": "127.0.0.1:65536"}, "from 0 to 65535"),
+        ({"limits": {"sockets": 2}}, ">= 32"),
+        (with_settings(fleet_size=0), ">= 1"),
+    ],
+    ids=["port", "sockets", "routers"],
+)
+def test_value_out_of_range_is_reported_with_the_allowed_range(change, allowed_range):
+    with pytest.raises(ConfigurationError) as caught:
+        parse_config(VALID | change, {})
+
+    assert allowed_range in caught.value.problem
 
 
 @pytest.mark.parametrize(
@@ -111,6 +128,6 @@
     assert settings.worker_sizes_known
 
 
-def test_configuration_error_is_one_of_the_package():
+def test_error_of_the_configuration_is_one_of_the_package_and_a_value_error():
     assert issubclass(ConfigurationError, FunctionRouterError)
     assert issubclass(ConfigurationError, ValueError)
