--- /dev/null
+++ b/function_router/net/endpoint_messages.py
@@ -0,0 +1,62 @@
+"""The messages of the endpoint log: one line of JSON each, an event or an announcement."""
+
+from dataclasses import dataclass
+
+import msgspec
+
+SEQUENCE_FIELD = "seq"
+ENDPOINTS_FIELD = "fleet"
+IS_COMPLETE_FIELD = "complete"
+MEMBERS_FIELD = "members"
+
+
+@dataclass(frozen=True, slots=True)
+class SequenceAnnouncement:
+    """The sequence number of the last event in the log. The log repeats it as its heartbeat."""
+
+    sequence: int
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointEvent:
+    """An event of the endpoint log. Its endpoint list is validated only when it is applied."""
+
+    sequence: int
+    has_endpoints: bool  # an event without endpoints only takes a sequence number
+    endpoints: object = None  # as decoded from JSON
+
+    @classmethod
+    def from_json(cls, decoded: object) -> "EndpointEvent | None":
+        """The event in decoded JSON; None where that is not an event."""
+        if not isinstance(decoded, dict):
+            return None
+        sequence = _sequence_number(decoded.get(SEQUENCE_FIELD))
+        if sequence is None:
+            return None
+        return cls(sequence, ENDPOINTS_FIELD in decoded, decoded.get(ENDPOINTS_FIELD))
+
+    @property
+    def is_snapshot(self) -> bool:
+        """Whether it has the complete list, which replaces all events before it."""
+        endpoints = self.endpoints
+        if not isinstance(endpoints, dict):
+            return False
+        return endpoints.get(IS_COMPLETE_FIELD) is True and bool(endpoints.get(MEMBERS_FIELD))
+
+
+def parse_line(line: bytes) -> SequenceAnnouncement | EndpointEvent | None:
+    """The message on a line; None where the line is invalid."""
+    try:
+        decoded: object = msgspec.json.decode(line)
+    except (msgspec.DecodeError, RecursionError):
+        return None
+    announced = _sequence_number(decoded)
+    if announced is not None:
+        return SequenceAnnouncement(announced)
+    return EndpointEvent.from_json(decoded)
+
+
+def _sequence_number(value: object) -> int | None:
+    if isinstance(value, int) and not isinstance(value, bool) and value >= 0:
+        return value
+    return None
--- a/function_router/net/router_process.py
+++ b/function_router/net/router_process.py
@@ -4,13 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from function_router.config import (
-    INITIAL_EVENTS_KEY,
-    Address,
-    ConfigurationError,
-    RouterConfig,
-    UnreadableFileError,
-)
+from function_router.config import Address, ConfigurationError, RouterConfig, UnreadableFileError
 from function_router.decisions.actions import (
     Action,
     CancelAttempt,
@@ -74,9 +68,6 @@
 # Keys of the configuration that a reload leaves as they are.
 RESTART_ONLY_KEYS = ("name", "listen", "memory_mb", "max_sockets", "settings", "transport")
 
-# Of an invalid event, in the text of an error.
-MAX_EVENT_TEXT = 80
-
 
 def _max_connections(max_sockets: int, share: float) -> int:
     return max(MIN_CONNECTIONS, int(max_sockets * share))
@@ -118,7 +109,7 @@
         self.endpoint_watch = EndpointWatch(
             self.loop, config.endpoint_log, self._registry.apply, start_times.on_caught_up, self.log
         )
-        self._apply_known_events()
+        self.endpoint_watch.apply_initial_events(config.initial_events, config.initial_sequence)
         max_clients = _max_connections(config.max_sockets, CLIENT_SHARE)
         self.listener = ClientListener(
             self.loop, config.listen, self.table, classes, wire.tenants, max_clients, self.telemetry
@@ -139,14 +130,6 @@
             LogMessage: self._log_message,
         }
 
-    def _apply_known_events(self) -> None:
-        """Apply the events that the configuration brings, so that workers are known from the start."""
-        for event in self.config.initial_events:
-            if not self.endpoint_watch.apply_event(event, is_initial=True):
-                problem = f"not an event: {str(event)[:MAX_EVENT_TEXT]}"
-                raise ConfigurationError(INITIAL_EVENTS_KEY, problem)
-        self.endpoint_watch.advance_to(self.config.initial_sequence)
-
     @property
     def address(self) -> Address:
         """The address for clients, with the port that the system chose where 0 was configured."""
@@ -156,7 +139,7 @@
 
     def start(self) -> None:
         """Connect to the endpoint log and report readiness; the caller runs the loop."""
-        self.endpoint_watch.connect()
+        self.endpoint_watch.client.connect()
         self.loop.timers.call_later(TIMEOUT_CHECK_INTERVAL_MS, self._check_timeouts)
         self.loop.timers.call_later(COUNTERS_INTERVAL_MS, self._log_counters)
         self.listener.is_ready = True
@@ -179,7 +162,7 @@
     def close(self) -> None:
         """Close all sockets at once, answered or not."""
         self.listener.close()
-        self.endpoint_watch.close()
+        self.endpoint_watch.client.close()
         self.pool.close()
         self.loop.close()
 
@@ -247,7 +230,7 @@
     # --- periodic -------------------------------------------------------------------------------
 
     def _check_timeouts(self) -> None:
-        self.endpoint_watch.check_timeouts()
+        self.endpoint_watch.client.check_timeouts()
         self.pool.check_timeouts()
         self.listener.check_timeouts()
         self.loop.timers.call_later(TIMEOUT_CHECK_INTERVAL_MS, self._check_timeouts)
--- a/function_router/net/sequence_tracker.py
+++ b/function_router/net/sequence_tracker.py
@@ -1,22 +1,29 @@
-"""The position in a numbered log: which events were applied or skipped, and when to request them again."""
+"""The position in a numbered log: which events were applied or skipped, and when to request some again."""
 
 from enum import Enum, auto
 
 
-class Announcement(Enum):
-    """What the last sequence number that a log announces shows about the events received so far."""
+class SyncState(Enum):
+    """How the events received so far compare with the log, whose last sequence number was announced."""
 
-    CAUGHT_UP = auto()
-    EVENTS_MISSING = auto()  # to be requested again
-    EVENTS_STILL_MISSING = auto()  # but the last request is too recent to be repeated
-    SNAPSHOT_REVOKED = auto()  # a snapshot ahead of a gap had a number that the log has not reached
+    CAUGHT_UP = auto()  # no event is missing
+    EVENTS_MISSING = auto()  # they are to be requested again
+    EVENTS_STILL_MISSING = auto()  # the last request for them is too recent to be repeated
+    SNAPSHOT_REVOKED = auto()  # a snapshot ahead of a gap had a sequence number beyond the end of the log
+
+
+class InvalidLineResponse(Enum):
+    """How to go on after a line that is not the next event."""
+
+    REQUEST_AGAIN = auto()
+    SKIP = auto()  # a request was repeated at this position already
 
 
 class SequenceTracker:
-    """Decides whether an event is the next one, and what an invalid line or a missing event leads to.
+    """Decides whether an event is the next one, and how to go on after an invalid line or a missing event.
 
-    An invalid line, or missing events, are requested again once; then they are skipped, so that one line
-    that never becomes valid does not hide the events behind it. It knows no connection and no clock.
+    What is invalid or missing is requested again once, then skipped, so that a line that stays invalid does
+    not hide the events behind it. The tracker has no connection and no clock.
     """
 
     __slots__ = (
@@ -29,20 +36,20 @@
 
     def __init__(self, last_sequence: int) -> None:
         self.last_sequence = last_sequence  # of the last event that was applied
-        self._skipped_through = 0  # missing events up to this number were requested again in vain
-        self._invalid_line_position: int | None = None  # where an invalid line led to a request
-        self._missing_after: int | None = None  # the last sequence when missing events led to a request
-        # The last sequence before a snapshot ahead of a gap, until an announcement confirms its number.
+        self._skipped_through = 0  # events up to this number were requested again without success
+        self._invalid_line_position: int | None = None  # position at which an invalid line led to a request
+        self._missing_after: int | None = None  # last sequence when missing events led to a request
+        # Last sequence before a snapshot ahead of a gap, until an announcement confirms the latter's number.
         self._sequence_before_snapshot: int | None = None
 
     @property
     def position(self) -> int:
-        """The sequence number up to which no event is waited for; a skipped one is applied if it comes."""
+        """The sequence number up to which no event is awaited; a skipped one is still applied if it comes."""
         return max(self.last_sequence, self._skipped_through)
 
     @property
     def awaits_repeat(self) -> bool:
-        """Whether an invalid line was requested again and nothing valid has come since."""
+        """Whether an event was requested again after an invalid line, and nothing valid has come since."""
         return self._invalid_line_position is not None
 
     def is_applied(self, sequence: int) -> bool:
@@ -58,47 +65,47 @@
         self.last_sequence = max(self.last_sequence, sequence)
 
     def record_applied(self, sequence: int, *, is_ahead_of_gap: bool) -> None:
-        """Note an event that was applied; ahead of a gap only a complete snapshot can be."""
+        """Record an event that was applied; only a snapshot can be ahead of a gap."""
         if is_ahead_of_gap:
             self._sequence_before_snapshot = self.last_sequence
         self.last_sequence = sequence
         self._invalid_line_position = None
 
-    def record_invalid_line(self) -> bool:
-        """Note a line that is not the next event; True where it is to be requested again, not skipped."""
+    def record_invalid_line(self) -> InvalidLineResponse:
+        """Record a line that is not the next event."""
         if self._invalid_line_position != self.position:
             self._invalid_line_position = self.position
-            return True
+            return InvalidLineResponse.REQUEST_AGAIN
         self._invalid_line_position = None
-        return False
+        return InvalidLineResponse.SKIP
 
     def skip_through(self, sequence: int) -> None:
-        """Wait no longer for events up to this number."""
+        """Stop waiting for events up to this number."""
         self._skipped_through = sequence
 
-    def record_announcement(self, sequence: int, *, may_repeat_request: bool) -> Announcement:
+    def record_announcement(self, sequence: int, *, may_repeat_request: bool) -> SyncState:
         """Compare the position with the last sequence number that the log announces.
 
         Args:
-            sequence: The number of the last event in the log.
-            may_repeat_request: Whether missing events may be requested a second time from the same position.
+            sequence: the number of the last event in the log.
+            may_repeat_request: whether missing events may be requested a second time from the same position.
         """
         if self._sequence_before_snapshot is not None and sequence < self.last_sequence:
             self.last_sequence = self._sequence_before_snapshot
             self._skipped_through = 0
             self._sequence_before_snapshot = None
-            return Announcement.SNAPSHOT_REVOKED
+            return SyncState.SNAPSHOT_REVOKED
         if sequence > self.position:
             if self._missing_after == self.last_sequence and not may_repeat_request:
-                return Announcement.EVENTS_STILL_MISSING
+                return SyncState.EVENTS_STILL_MISSING
             self._missing_after = self.last_sequence
-            return Announcement.EVENTS_MISSING
-        self._skipped_through = sequence  # no event has the numbers that were skipped beyond it
+            return SyncState.EVENTS_MISSING
+        self._skipped_through = sequence  # numbers that were skipped beyond it belong to future events
         self._invalid_line_position = None
         self._sequence_before_snapshot = None
-        return Announcement.CAUGHT_UP
+        return SyncState.CAUGHT_UP
 
     def forget_requests(self) -> None:
-        """Request again whatever is invalid or missing from here on, as the log has moved."""
+        """Forget what was requested again, as the log has moved: it may be requested once more."""
         self._invalid_line_position = None
         self._missing_after = None
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Tests of `endpoint_watch`: events over a real connection to a fake endpoint log."""
+"""Tests of `endpoint_watch` and its `endpoint_log_client`, over a real connection to a fake endpoint log."""
 
 import json
 from unittest import mock
@@ -9,7 +9,7 @@
 from helpers.fake_worker import FakeWorker
 
 from function_router.decisions.types import WorkerState
-from function_router.net import clock, endpoint_registry, endpoint_watch
+from function_router.net import clock, endpoint_log_client, endpoint_registry
 
 INVALID_LINES = [
     b"{",
@@ -90,7 +90,7 @@
     harness.endpoint_log.send_line(endpoint_event(2))
     wait_for_sequence(harness, 2)
 
-    with mock.patch.object(endpoint_watch, "SILENCE_TIMEOUT_MS", -1.0):
+    with mock.patch.object(endpoint_log_client, "SILENCE_TIMEOUT_MS", -1.0):
         wait_for_requests(harness, 2)
 
     assert harness.endpoint_log.requests() == [["since", "1"], ["since", "2"]]
@@ -98,14 +98,14 @@
 
 def test_silence_timeout_starts_when_the_connection_is_up(start_router):
     harness = start_router(FakeWorker())
-    watch = harness.router_process.endpoint_watch
-    watch._last_line_ms -= endpoint_watch.SILENCE_TIMEOUT_MS + 1  # connecting took that long
-    before = watch._connection
+    client = harness.router_process.endpoint_watch.client
+    client._last_line_ms -= endpoint_log_client.SILENCE_TIMEOUT_MS + 1  # connecting took that long
+    before = client._connection
 
-    watch.on_connected()
-    watch.check_timeouts()
+    client.on_connected()
+    client.check_timeouts()
 
-    assert watch._connection is before
+    assert client._connection is before
 
 
 # --- missing events
@@ -187,11 +187,11 @@
     started_ms = clock.monotonic_ms()
 
     harness.router_process.endpoint_watch.move_to(log.address)
-    wait_ms = 4 * endpoint_watch.RECONNECT_DELAY_MS
+    wait_ms = 4 * endpoint_log_client.RECONNECT_DELAY_MS
     harness.router_process.loop.timers.call_later(wait_ms, lambda: elapsed.append(True))
     harness.run_until(lambda: elapsed and len(log.connections) > 1, "some time passes")
 
-    delays = (clock.monotonic_ms() - started_ms) / endpoint_watch.RECONNECT_DELAY_MS
+    delays = (clock.monotonic_ms() - started_ms) / endpoint_log_client.RECONNECT_DELAY_MS
     assert len(log.connections) <= 1 + delays
     log.lines = (b'{"seq":2,"fleet":{"members":[]}}', b"2")
     wait_for_sequence(harness, 2)
@@ -215,7 +215,7 @@
     line = json.dumps(endpoint_event(2, worker.record("terminating"))).encode()
     elapsed = []
 
-    with mock.patch.object(endpoint_watch, "SILENCE_TIMEOUT_MS", 300.0):
+    with mock.patch.object(endpoint_log_client, "SILENCE_TIMEOUT_MS", 300.0):
         for start in range(0, len(line), len(line) // 8 + 1):
             harness.endpoint_log.connections[-1].sock.sendall(line[start : start + len(line) // 8 + 1])
             harness.router_process.loop.timers.call_later(100.0, lambda: elapsed.append(True))
@@ -281,12 +281,12 @@
     moved = FakeEndpointLog()
     elapsed = []
 
-    with mock.patch.object(endpoint_watch, "RECONNECT_DELAY_MS", 30.0):
+    with mock.patch.object(endpoint_log_client, "RECONNECT_DELAY_MS", 30.0):
         harness.endpoint_log.send_line(endpoint_event(2))
         wait_for_sequence(harness, 2)
         if is_broken:  # the reconnect to the old address is scheduled already
             harness.endpoint_log.connections[0].close()
-            harness.run_until(lambda: watch._connection is None, "the connection breaks")
+            harness.run_until(lambda: watch.client._connection is None, "the connection breaks")
         watch.move_to(moved.address)
     harness.router_process.loop.timers.call_later(60.0, lambda: elapsed.append(True))
     start_moved_log(harness, moved)
@@ -304,8 +304,8 @@
     watch = harness.router_process.endpoint_watch
     if is_line_half_read:
         harness.endpoint_log.connections[0].sock.sendall(b'{"seq":2,"fl')
-        harness.run_until(lambda: watch._partial_line, "half a line is read")
-    assert watch._connection.is_connected == is_line_half_read
+        harness.run_until(lambda: watch.client._partial_line, "half a line is read")
+    assert watch.client._connection.is_connected == is_line_half_read
 
     watch.move_to(moved.address)
     harness.run_until(moved.requests, "the new log has a request")
--- a/tests/net/test_router_process.py
+++ b/tests/net/test_router_process.py
@@ -167,13 +167,13 @@
 
 
 def test_reload_of_a_faulty_configuration_changes_nothing(harness):
-    connection = harness.router_process.endpoint_watch._connection
+    connection = harness.router_process.endpoint_watch.client._connection
     harness.router_process._reread = mock.Mock(side_effect=ConfigurationError("listen", "missing"))
 
     harness.router_process.reload()
 
     assert configuration_lines(harness) == ["configuration not taken over: listen: missing"]
-    assert harness.router_process.endpoint_watch._connection is connection
+    assert harness.router_process.endpoint_watch.client._connection is connection
 
 
 def test_action_that_raises_leaves_the_others_and_the_process_alone(harness, worker, client):
--- a/tests/net/test_sequence_tracker.py
+++ b/tests/net/test_sequence_tracker.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from function_router.net.sequence_tracker import Announcement, SequenceTracker
+from function_router.net.sequence_tracker import InvalidLineResponse, SequenceTracker, SyncState
 
 
 @pytest.fixture
@@ -29,17 +29,22 @@
 
 
 def test_invalid_line_is_requested_again_once_and_then_skipped(tracker):
-    decisions = [tracker.record_invalid_line() for _ in range(3)]
+    responses = [tracker.record_invalid_line() for _ in range(3)]
 
-    assert decisions == [True, False, True]
+    assert responses == [
+        InvalidLineResponse.REQUEST_AGAIN,
+        InvalidLineResponse.SKIP,
+        InvalidLineResponse.REQUEST_AGAIN,
+    ]
 
 
 def test_applied_event_makes_the_next_invalid_line_a_first_one(tracker):
     tracker.record_invalid_line()
+
     tracker.record_applied(6, is_ahead_of_gap=False)
 
     assert not tracker.awaits_repeat
-    assert tracker.record_invalid_line()
+    assert tracker.record_invalid_line() is InvalidLineResponse.REQUEST_AGAIN
 
 
 def test_skipped_event_is_still_applied_if_it_comes(tracker):
@@ -56,7 +61,7 @@
 
     announcement = tracker.record_announcement(7, may_repeat_request=False)
 
-    assert announcement is Announcement.CAUGHT_UP
+    assert announcement is SyncState.CAUGHT_UP
     assert tracker.position == 7
     assert not tracker.awaits_repeat
 
@@ -66,9 +71,9 @@
     early = tracker.record_announcement(7, may_repeat_request=False)
     repeated = tracker.record_announcement(7, may_repeat_request=True)
 
-    assert first is Announcement.EVENTS_MISSING
-    assert early is Announcement.EVENTS_STILL_MISSING
-    assert repeated is Announcement.EVENTS_MISSING
+    assert first is SyncState.EVENTS_MISSING
+    assert early is SyncState.EVENTS_STILL_MISSING
+    assert repeated is SyncState.EVENTS_MISSING
 
 
 def test_forgotten_requests_may_be_made_again(tracker):
@@ -77,8 +82,8 @@
 
     tracker.forget_requests()
 
-    assert tracker.record_announcement(7, may_repeat_request=False) is Announcement.EVENTS_MISSING
-    assert tracker.record_invalid_line()
+    assert tracker.record_announcement(7, may_repeat_request=False) is SyncState.EVENTS_MISSING
+    assert tracker.record_invalid_line() is InvalidLineResponse.REQUEST_AGAIN
 
 
 def test_snapshot_beyond_the_announced_sequence_is_revoked(tracker):
@@ -86,7 +91,7 @@
 
     announcement = tracker.record_announcement(6, may_repeat_request=False)
 
-    assert announcement is Announcement.SNAPSHOT_REVOKED
+    assert announcement is SyncState.SNAPSHOT_REVOKED
     assert tracker.last_sequence == 5
     assert tracker.position == 5
 
@@ -97,6 +102,6 @@
     confirmed = tracker.record_announcement(99, may_repeat_request=False)
     later = tracker.record_announcement(6, may_repeat_request=False)
 
-    assert confirmed is Announcement.CAUGHT_UP
-    assert later is Announcement.CAUGHT_UP
+    assert confirmed is SyncState.CAUGHT_UP
+    assert later is SyncState.CAUGHT_UP
     assert tracker.last_sequence == 99
