--- /dev/null
+++ b/function_router/net/drain.py
@@ -0,0 +1,71 @@
+"""The end of a router process: from SIGTERM until every admitted request has its answer."""
+
+from collections.abc import Callable, Iterable
+
+from function_router.decisions.settings import RequestClass
+from function_router.net.client_listener import ClientListener
+from function_router.net.clock import monotonic_ms
+from function_router.net.event_loop import EventLoop
+from function_router.net.request_table import RequestTable
+
+# New connections and requests may arrive for 0.6 s after SIGTERM.
+LATE_ARRIVALS_MS = 800.0
+# The drain ends after this time, even with requests pending.
+MAX_DRAIN_MS = 20_000.0
+# Between checks of whether the drain is complete.
+CHECK_INTERVAL_MS = 20.0
+# SIGKILL may follow SIGTERM after the longest timeout of a class, limited to this time ...
+MAX_KILL_TIMEOUT_MS = 3_000.0
+# ... plus this time.
+KILL_GRACE_MS = 700.0
+# The last answers are sent this long before SIGKILL may come.
+KILL_MARGIN_MS = 200.0
+
+
+class Drain:
+    """Reports the router as not ready, goes on serving, and stops the loop once all requests are answered."""
+
+    def __init__(
+        self,
+        loop: EventLoop,
+        listener: ClientListener,
+        table: RequestTable,
+        classes: Iterable[RequestClass],
+        log: Callable[[str], None],
+    ) -> None:
+        """Prepare to drain; `classes` are those of the requests, whose timeouts say when SIGKILL may come."""
+        self._loop = loop
+        self._listener = listener
+        self._table = table
+        self._log = log
+        self._max_timeout_ms = max((spec.timeout_ms for spec in classes), default=0.0)
+        self._is_started = False
+        self._started_ms = 0.0  # monotonic; valid once started
+
+    def start(self) -> None:
+        """Start to drain; does nothing where that has started already."""
+        if self._is_started:
+            return
+        self._log("draining before exit")
+        self._is_started = True
+        self._started_ms = monotonic_ms()
+        self._listener.is_ready = False
+        killed_after_ms = min(self._max_timeout_ms, MAX_KILL_TIMEOUT_MS) + KILL_GRACE_MS
+        self._table.drain(killed_after_ms - KILL_MARGIN_MS)
+        self._stop_if_complete()
+
+    def _stop_if_complete(self) -> None:
+        """Stop the loop if the drain is complete or has taken too long; otherwise check again later."""
+        drained_for_ms = monotonic_ms() - self._started_ms
+        has_timed_out = drained_for_ms > MAX_DRAIN_MS
+        if has_timed_out or (drained_for_ms > LATE_ARRIVALS_MS and not self._has_pending_work()):
+            self._loop.running = False
+        else:
+            self._loop.timers.call_later(CHECK_INTERVAL_MS, self._stop_if_complete)
+
+    def _has_pending_work(self) -> bool:
+        """Whether a request is pending, its answer is not written yet, or its bytes have not been read yet.
+
+        A client counts a request as accepted once its connection is, even before it is read here.
+        """
+        return bool(self._table.pending) or self._listener.has_unwritten() or self._listener.has_arriving()
--- /dev/null
+++ b/function_router/net/reload.py
@@ -0,0 +1,69 @@
+"""Reload of the configuration at SIGHUP."""
+
+from collections.abc import Callable
+
+from function_router.config import ConfigurationError, RouterConfig, UnreadableFileError
+from function_router.net.clock import monotonic_ms
+from function_router.net.endpoint_watch import EndpointWatch
+from function_router.net.event_loop import EventLoop
+from function_router.net.transient_errors import is_transient
+
+# A file that can't be read for lack of descriptors or memory is tried again for this time: an event of the
+# endpoint log counts as notified 4 s after SIGHUP.
+RETRY_MS = 3_000.0
+RETRY_INTERVAL_MS = 50.0
+
+# Attributes of the configuration that take effect at the start only.
+RESTART_ONLY = ("name", "listen", "memory_mb", "max_sockets", "settings", "transport")
+
+
+class ConfigurationReload:
+    """Reads the configuration again and moves to its endpoint log. Requests and connections stay.
+
+    Other changes take effect at the next start; their names are logged. An invalid configuration changes
+    nothing.
+    """
+
+    def __init__(
+        self,
+        current: RouterConfig,
+        read_config: Callable[[], RouterConfig],
+        loop: EventLoop,
+        endpoint_watch: EndpointWatch,
+        log: Callable[[str], None],
+    ) -> None:
+        """Prepare to reload with `read_config`, in a process that was started with `current`."""
+        self._current = current
+        self._read_config = read_config
+        self._loop = loop
+        self._endpoint_watch = endpoint_watch
+        self._log = log
+        self._retry_until_ms: float | None = None  # monotonic; None: the file is not being retried
+
+    def run(self) -> None:
+        """Reload now, or a moment later where the file can't be read for a passing reason."""
+        try:
+            config = self._read_config()
+        except UnreadableFileError as error:
+            self._retry_or_give_up(error)
+            return
+        except ConfigurationError as error:
+            self._log(f"configuration not reloaded: {error}")
+            return
+        self._retry_until_ms = None
+        host, port = config.endpoint_log
+        changed = [name for name in RESTART_ONLY if getattr(config, name) != getattr(self._current, name)]
+        ignored = f"; changed, but read only at the start: {', '.join(changed)}" if changed else ""
+        self._log(f"configuration reloaded: endpoint log at {host}:{port}{ignored}")
+        self._endpoint_watch.move_to(config.endpoint_log)
+
+    def _retry_or_give_up(self, error: UnreadableFileError) -> None:
+        """Read the file again a moment later, unless it has been unreadable for too long."""
+        now_ms = monotonic_ms()
+        if self._retry_until_ms is None:
+            self._retry_until_ms = now_ms + RETRY_MS
+        if is_transient(error) and now_ms < self._retry_until_ms:
+            self._loop.timers.call_later(RETRY_INTERVAL_MS, self.run)
+            return
+        self._retry_until_ms = None
+        self._log(f"configuration not reloaded: {error}")
--- /dev/null
+++ b/tests/net/test_decision_host.py
@@ -0,0 +1,137 @@
+"""Tests of `decision_host`."""
+
+from typing import get_args
+from unittest import mock
+
+import pytest
+from helpers.fake_worker import FakeWorker
+from helpers.sockets import wait_readable
+
+from function_router.decisions.actions import (
+    Action,
+    CancelAttempt,
+    EnsureInstances,
+    FailRequest,
+    LogMessage,
+    RejectRequest,
+    SendRequest,
+    SetTimer,
+)
+from function_router.decisions.events import TimerFired
+from function_router.net.decision_host import RECOVERY_TIMER_TOKEN
+from function_router.net.event_loop import READ
+from function_router.net.request_table import RequestTable
+
+# One of each action that the request table carries out, and the method that does so.
+TABLE_ACTIONS = [
+    (SendRequest("r1", 11), "send"),
+    (CancelAttempt("r1", 0), "cancel_attempt"),
+    (RejectRequest("r1", 250.0), "reject"),
+    (FailRequest("r1"), "fail"),
+    (EnsureInstances(11, "fn:a", 1), "ensure_instances"),
+]
+
+
+@pytest.fixture
+def worker():
+    """The one worker of the router, which closes it."""
+    return FakeWorker()
+
+
+@pytest.fixture
+def harness(start_router, worker):
+    """A router that knows the worker."""
+    return start_router(worker)
+
+
+def handle_with_actions(harness, *actions):
+    """Run a turn in which the decisions return these actions."""
+    process = harness.router_process
+    with mock.patch.object(process.router, "handle", return_value=list(actions)):
+        process.loop.submit(TimerFired(1))
+        process.loop.run_once(0)
+
+
+def events_of(handle):
+    """All events that a stand-in for `Router.handle` was called with."""
+    return [event for call in handle.call_args_list for event in call.args[1]]
+
+
+# --- actions
+
+
+def test_each_action_has_a_case_in_this_file():
+    handled_by_the_loop_or_log = {SetTimer, LogMessage}
+
+    tested = {type(action) for action, _ in TABLE_ACTIONS} | handled_by_the_loop_or_log
+
+    assert tested == set(get_args(Action))
+
+
+@pytest.mark.parametrize(("action", "method"), TABLE_ACTIONS, ids=lambda value: str(value)[:16])
+def test_action_is_carried_out_by_the_request_table(harness, action, method):
+    with mock.patch.object(RequestTable, method) as carry_out:
+        handle_with_actions(harness, action)
+
+    carry_out.assert_called_once_with(action)
+
+
+def test_timer_comes_back_as_an_event_after_its_delay(harness):
+    process = harness.router_process
+
+    handle_with_actions(harness, SetTimer(delay_ms=1.0, token=7))
+    with mock.patch.object(process.router, "handle", return_value=[]) as handle:
+        harness.run_until(lambda: TimerFired(7) in events_of(handle), "the timer fires")
+
+    assert events_of(handle).count(TimerFired(7)) == 1
+
+
+def test_log_message_is_logged(harness):
+    handle_with_actions(harness, LogMessage("two workers"))
+
+    assert harness.log_lines.count("two workers") == 1
+
+
+# --- exceptions
+
+
+def test_action_that_raises_leaves_the_others_and_the_process_alone(harness, worker):
+    with mock.patch.object(RequestTable, "send", side_effect=OSError):
+        handle_with_actions(harness, SendRequest("r1", worker.worker_id), LogMessage("after"))
+    harness.round_trip(harness.connect_client())
+
+    assert harness.log_lines.count("after") == 1
+    assert any("unhandled exception" in line for line in harness.log_lines)
+
+
+def test_timer_that_an_exception_may_have_lost_is_replaced(harness):
+    process = harness.router_process
+    with mock.patch.object(process.router, "handle", side_effect=KeyError):
+        process.loop.submit(TimerFired(1))
+        process.loop.run_once(0)
+
+    with mock.patch.object(process.router, "handle", return_value=[]) as handle:
+        recovery_timer = TimerFired(RECOVERY_TIMER_TOKEN)
+        harness.run_until(lambda: recovery_timer in events_of(handle), "a timer fires")
+
+    assert any("unhandled exception in the decisions" in line for line in harness.log_lines)
+
+
+def test_what_was_decided_before_an_exception_of_the_decisions_is_carried_out(harness, worker):
+    process = harness.router_process
+    client = harness.connect_client()
+    harness.round_trip(client)
+    client.send_request()
+    harness.run_until(lambda: worker.requests, "the first request runs")
+    worker.answer(worker.requests[0])
+    harness.run_until(lambda: 1 in client.answer_kinds(), "it is answered")
+    process.router._handlers[TimerFired] = mock.Mock(side_effect=KeyError)
+
+    client.send_request(call="ee" * 8)
+    [served] = process.listener.connections
+    assert wait_readable(served.connection._sock)
+    served.connection._ready(READ)
+    process.loop.submit(TimerFired(1))  # in the same batch, behind the request
+    harness.run_until(lambda: len(worker.requests) == 2, "the second request runs")
+
+    assert any("the decisions" in line for line in harness.log_lines)
