--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Leaves .venv in the repository's folder. A .venv counts as good only if it was finished for just these
-# requirements and its interpreter still starts: one half made, moved or out of date is made anew.
+# Creates .venv in the root of the repository. An existing one is kept only if it was completed for exactly
+# these requirements and its interpreter runs; one that is incomplete, moved or out of date is replaced.
 set -eu
 cd "$(dirname "$0")/.."
 stamp=.venv/requirements.txt
@@ -10,4 +10,4 @@
     .venv/bin/pip -q install -r requirements.txt
     cp requirements.txt "$stamp"
 fi
-.venv/bin/python -m compileall -q function_router || true   # a checkout that can't be written to still runs
+.venv/bin/python -m compileall -q function_router || true   # optional: fails where the checkout is read-only
--- a/function_router/__main__.py
+++ b/function_router/__main__.py
@@ -5,12 +5,12 @@
 
 
 def main() -> int:
-    """Run the command line, or serve directly where that is all that is asked for."""
+    """Run the command line; `serve` without options is run directly."""
     if sys.argv[1:] == ["serve"]:
-        # SIGHUP, which asks for a reload, ends a program that has no handler yet: block it first of all.
+        # SIGHUP, which requests a reload, kills a process that has no handler yet: block it before the rest.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-        # The libraries of the command line take longer to import than all the rest, and serving needs none
-        # of them: without them, the router is ready sooner after a restart.
+        # The command-line library takes longer to import than everything else, and serving does not need it:
+        # without it, the router is ready sooner after a restart.
         from function_router.server import serve  # noqa: PLC0415 (imported once SIGHUP is blocked)
 
         return serve()
--- a/function_router/cli.py
+++ b/function_router/cli.py
@@ -9,7 +9,7 @@
 app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False)
 ConfigPath = Annotated[
     str | None,
-    typer.Option("--config", help="The JSON file, in place of ROUTER_CONFIG's."),
+    typer.Option("--config", help="The JSON file; without it, the one that ROUTER_CONFIG names."),
 ]
 
 
@@ -21,7 +21,7 @@
 
 @app.command("check-config")
 def check_config(path: ConfigPath = None) -> None:
-    """Read and check the configuration, and say what was understood."""
+    """Check the configuration and print a summary of it."""
     try:
         router_config = config.load(path)
     except config.ConfigurationError as error:
