--- a/function_router/net/decision_host.py
+++ b/function_router/net/decision_host.py
@@ -3,16 +3,7 @@
 from collections.abc import Callable
 from typing import assert_never
 
-from function_router.decisions.actions import (
-    Action,
-    CancelAttempt,
-    EnsureInstances,
-    FailRequest,
-    LogMessage,
-    RejectRequest,
-    SendRequest,
-    SetTimer,
-)
+from function_router.decisions import actions
 from function_router.decisions.events import Event, TimerFired
 from function_router.decisions.router import Router
 from function_router.net.event_loop import EventLoop
@@ -42,38 +33,38 @@
         """Hand over a batch of events, whose time on the decisions' clock is `now_ms`."""
         self._table.begin_batch(now_ms)
         try:
-            actions = self._router.handle(now_ms, events)
+            decided = self._router.handle(now_ms, events)
         except Exception:  # noqa: BLE001 - it is reported; each pending request has a deadline timer
             self._loop.report_exception("the decisions")
             self._loop.timers.call_later(RECOVERY_TIMER_MS, self._fire_recovery_timer)
-            actions = self._router.take_actions()  # decided before the exception, as the state records
-        for action in actions:
+            decided = self._router.take_actions()  # decided before the exception, as the state records
+        for action in decided:
             self._loop.guard(self._handler_of(action), action)
 
-    def _handler_of(self, action: Action) -> Callable[..., None]:  # noqa: PLR0911 (one for each action)
+    def _handler_of(self, action: actions.Action) -> Callable[..., None]:  # noqa: PLR0911 (one for each action)
         """The method that carries out an action; mypy reports an action that has none."""
         match action:
-            case SendRequest():
+            case actions.SendRequest():
                 return self._table.send
-            case CancelAttempt():
+            case actions.CancelAttempt():
                 return self._table.cancel_attempt
-            case RejectRequest():
+            case actions.RejectRequest():
                 return self._table.reject
-            case FailRequest():
+            case actions.FailRequest():
                 return self._table.fail
-            case EnsureInstances():
+            case actions.EnsureInstances():
                 return self._table.ensure_instances
-            case SetTimer():
+            case actions.SetTimer():
                 return self._set_timer
-            case LogMessage():
+            case actions.LogMessage():
                 return self._log_message
             case _:
                 assert_never(action)
 
-    def _set_timer(self, action: SetTimer) -> None:
+    def _set_timer(self, action: actions.SetTimer) -> None:
         self._loop.timers.call_later(action.delay_ms, lambda: self._loop.submit(TimerFired(action.token)))
 
-    def _log_message(self, action: LogMessage) -> None:
+    def _log_message(self, action: actions.LogMessage) -> None:
         self._log(action.text)
 
     def _fire_recovery_timer(self) -> None:
--- a/function_router/simulator_codec.py
+++ b/function_router/simulator_codec.py
@@ -8,16 +8,7 @@
 from collections.abc import Callable
 from typing import Any, assert_never
 
-from function_router.decisions.actions import (
-    Action,
-    CancelAttempt,
-    EnsureInstances,
-    FailRequest,
-    LogMessage,
-    RejectRequest,
-    SendRequest,
-    SetTimer,
-)
+from function_router.decisions import actions
 from function_router.decisions.events import (
     AttemptEnded,
     Endpoint,
@@ -185,18 +176,18 @@
     return TimerFired(body[TIMER_TOKEN])
 
 
-def write_action(action: Action) -> JsonObject:  # noqa: PLR0911 (one for each action)
+def write_action(action: actions.Action) -> JsonObject:  # noqa: PLR0911 (one for each action)
     """The message that has the simulator carry out an action; mypy reports an action that has none."""
     match action:
-        case SendRequest():
+        case actions.SendRequest():
             return {SEND: {REQUEST_ID: action.request_id, WORKER_ID: action.worker_id}}
-        case CancelAttempt():
+        case actions.CancelAttempt():
             return {CANCEL: {REQUEST_ID: action.request_id, ATTEMPT_NUMBER: action.attempt_number}}
-        case RejectRequest():
+        case actions.RejectRequest():
             return {REJECT: {REQUEST_ID: action.request_id, RETRY_AFTER: action.retry_after_ms}}
-        case FailRequest():
+        case actions.FailRequest():
             return {FAIL: {REQUEST_ID: action.request_id}}
-        case EnsureInstances():
+        case actions.EnsureInstances():
             return {
                 ENSURE_INSTANCES: {
                     WORKER_ID: action.worker_id,
@@ -204,9 +195,9 @@
                     INSTANCES: action.instances,
                 }
             }
-        case SetTimer():
+        case actions.SetTimer():
             return {SET_TIMER: {TIMER_DELAY: action.delay_ms, TIMER_TOKEN: action.token}}
-        case LogMessage():
+        case actions.LogMessage():
             return {LOG: {TEXT: action.text}}
         case _:
             assert_never(action)
--- a/tests/net/test_decision_host.py
+++ b/tests/net/test_decision_host.py
@@ -7,16 +7,7 @@
 from helpers.fake_worker import FakeWorker
 from helpers.sockets import wait_readable
 
-from function_router.decisions.actions import (
-    Action,
-    CancelAttempt,
-    EnsureInstances,
-    FailRequest,
-    LogMessage,
-    RejectRequest,
-    SendRequest,
-    SetTimer,
-)
+from function_router.decisions import actions
 from function_router.decisions.events import TimerFired
 from function_router.net.decision_host import RECOVERY_TIMER_TOKEN
 from function_router.net.event_loop import READ
@@ -24,30 +15,24 @@
 
 # One of each action that the request table carries out, and the method that does so.
 TABLE_ACTIONS = [
-    (SendRequest("r1", 11), "send"),
-    (CancelAttempt("r1", 0), "cancel_attempt"),
-    (RejectRequest("r1", 250.0), "reject"),
-    (FailRequest("r1"), "fail"),
-    (EnsureInstances(11, "fn:a", 1), "ensure_instances"),
+    (actions.SendRequest("r1", 11), "send"),
+    (actions.CancelAttempt("r1", 0), "cancel_attempt"),
+    (actions.RejectRequest("r1", 250.0), "reject"),
+    (actions.FailRequest("r1"), "fail"),
+    (actions.EnsureInstances(11, "fn:a", 1), "ensure_instances"),
 ]
 
 
 @pytest.fixture
-def worker():
-    """The one worker of the router, which closes it."""
-    return FakeWorker()
+def harness(start_router):
+    """A router without workers."""
+    return start_router()
 
 
-@pytest.fixture
-def harness(start_router, worker):
-    """A router that knows the worker."""
-    return start_router(worker)
-
-
-def handle_with_actions(harness, *actions):
+def handle_with_actions(harness, *decided):
     """Run a turn in which the decisions return these actions."""
     process = harness.router_process
-    with mock.patch.object(process.router, "handle", return_value=list(actions)):
+    with mock.patch.object(process.router, "handle", return_value=list(decided)):
         process.loop.submit(TimerFired(1))
         process.loop.run_once(0)
 
@@ -61,11 +46,11 @@
 
 
 def test_each_action_has_a_case_in_this_file():
-    handled_by_the_loop_or_log = {SetTimer, LogMessage}
+    handled_by_the_loop_or_log = {actions.SetTimer, actions.LogMessage}
 
     tested = {type(action) for action, _ in TABLE_ACTIONS} | handled_by_the_loop_or_log
 
-    assert tested == set(get_args(Action))
+    assert tested == set(get_args(actions.Action))
 
 
 @pytest.mark.parametrize(("action", "method"), TABLE_ACTIONS, ids=lambda value: str(value)[:16])
@@ -79,7 +64,7 @@
 def test_timer_comes_back_as_an_event_after_its_delay(harness):
     process = harness.router_process
 
-    handle_with_actions(harness, SetTimer(delay_ms=1.0, token=7))
+    handle_with_actions(harness, actions.SetTimer(delay_ms=1.0, token=7))
     with mock.patch.object(process.router, "handle", return_value=[]) as handle:
         harness.run_until(lambda: TimerFired(7) in events_of(handle), "the timer fires")
 
@@ -87,7 +72,7 @@
 
 
 def test_log_message_is_logged(harness):
-    handle_with_actions(harness, LogMessage("two workers"))
+    handle_with_actions(harness, actions.LogMessage("two workers"))
 
     assert harness.log_lines.count("two workers") == 1
 
@@ -95,9 +80,9 @@
 # --- exceptions
 
 
-def test_action_that_raises_leaves_the_others_and_the_process_alone(harness, worker):
+def test_action_that_raises_leaves_the_others_and_the_process_alone(harness):
     with mock.patch.object(RequestTable, "send", side_effect=OSError):
-        handle_with_actions(harness, SendRequest("r1", worker.worker_id), LogMessage("after"))
+        handle_with_actions(harness, actions.SendRequest("r1", 11), actions.LogMessage("after"))
     harness.round_trip(harness.connect_client())
 
     assert harness.log_lines.count("after") == 1
@@ -117,7 +102,9 @@
     assert any("unhandled exception in the decisions" in line for line in harness.log_lines)
 
 
-def test_what_was_decided_before_an_exception_of_the_decisions_is_carried_out(harness, worker):
+def test_what_was_decided_before_an_exception_of_the_decisions_is_carried_out(start_router):
+    worker = FakeWorker()
+    harness = start_router(worker)
     process = harness.router_process
     client = harness.connect_client()
     harness.round_trip(client)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -9,27 +9,7 @@
 
 import pytest
 
-from function_router.decisions.actions import (
-    Action,
-    CancelAttempt,
-    EnsureInstances,
-    FailRequest,
-    LogMessage,
-    RejectRequest,
-    SendRequest,
-    SetTimer,
-)
-from function_router.decisions.events import (
-    AttemptEnded,
-    DrainStarted,
-    Endpoint,
-    EndpointsChanged,
-    Event,
-    InstancesReported,
-    RequestArrived,
-    RequestCancelled,
-    TimerFired,
-)
+from function_router.decisions import actions, events
 from function_router.decisions.types import Outcome, StartKind, WorkerState
 from function_router.simulator_adapter import SimulatorAdapter
 
@@ -235,28 +215,28 @@
 
 # One of each action, and the message that it becomes.
 WRITTEN_ACTIONS = [
-    (SendRequest("t/x", 11), {"ATTEMPT": {"tid": "t/x", "worker": 11}}),
-    (CancelAttempt("t/x", 2), {"STOP_ATTEMPT": {"tid": "t/x", "try": 2}}),
-    (RejectRequest("t/x", 250.0), {"SAY_NO": {"tid": "t/x", "hold_off": 250.0}}),
-    (FailRequest("t/x"), {"ERROR": {"tid": "t/x"}}),
-    (EnsureInstances(12, "fn:a", 3), {"MOUNT": {"worker": 12, "fn": "fn:a", "how_many": 3}}),
-    (SetTimer(40.0, 7), {"NOTIFY_ME": {"sleep_for": 40.0, "handle": 7}}),
-    (LogMessage("two workers"), {"LOG": {"body_text": "two workers"}}),
+    (actions.SendRequest("t/x", 11), {"ATTEMPT": {"tid": "t/x", "worker": 11}}),
+    (actions.CancelAttempt("t/x", 2), {"STOP_ATTEMPT": {"tid": "t/x", "try": 2}}),
+    (actions.RejectRequest("t/x", 250.0), {"SAY_NO": {"tid": "t/x", "hold_off": 250.0}}),
+    (actions.FailRequest("t/x"), {"ERROR": {"tid": "t/x"}}),
+    (actions.EnsureInstances(12, "fn:a", 3), {"MOUNT": {"worker": 12, "fn": "fn:a", "how_many": 3}}),
+    (actions.SetTimer(40.0, 7), {"NOTIFY_ME": {"sleep_for": 40.0, "handle": 7}}),
+    (actions.LogMessage("two workers"), {"LOG": {"body_text": "two workers"}}),
 ]
 
 # One of each message that is an event, and the event that it becomes.
 READ_EVENTS = [
     (
         {"TARGETS": {"kind": 1, "entries": [{"worker": 11, "state": 2, "hall": "b", "up_since": 0}]}},
-        EndpointsChanged([Endpoint(11, WorkerState.DRAINING, zone="b")], is_complete=True),
+        events.EndpointsChanged([events.Endpoint(11, WorkerState.DRAINING, zone="b")], is_complete=True),
     ),
     (
         {"TARGETS": {"kind": 2, "entries": [{"worker": 11, "family_type": "gen-a", "stripe": 3}]}},
-        EndpointsChanged([Endpoint(11, machine_kind="gen-a", cell=3)], is_complete=True),
+        events.EndpointsChanged([events.Endpoint(11, machine_kind="gen-a", cell=3)], is_complete=True),
     ),
     (
         {"TARGETS": {"kind": 0, "entries": [{"worker": 11, "units": 1.5, "up_since": 60.0}]}},
-        EndpointsChanged([Endpoint(11, size=1.5, started_at_ms=60.0)], is_complete=False),
+        events.EndpointsChanged([events.Endpoint(11, size=1.5, started_at_ms=60.0)], is_complete=False),
     ),
     (
         {
@@ -273,7 +253,7 @@
                 "bitmap": 5,
             }
         },
-        RequestArrived(
+        events.RequestArrived(
             "t/x",
             "fn:a",
             "score",
@@ -287,9 +267,9 @@
     ),
     (
         {"NEW_REQUEST": {"tid": "t/x", "hint": 12.0, "bitmap": 4, "billing": 0}},
-        RequestArrived("t/x", "", "", "", 0.0),
+        events.RequestArrived("t/x", "", "", "", 0.0),
     ),
-    ({"HANGUP": {"tid": "t/x"}}, RequestCancelled("t/x")),
+    ({"HANGUP": {"tid": "t/x"}}, events.RequestCancelled("t/x")),
     (
         {
             "RESOLVED": {
@@ -303,7 +283,7 @@
                 "health_info": {"x0": 0.5},
             }
         },
-        AttemptEnded(
+        events.AttemptEnded(
             "t/x",
             1,
             11,
@@ -317,13 +297,13 @@
     ),
     (
         {"RESOLVED": {"tid": "t/x", "ending": "RST"}},
-        AttemptEnded("t/x", 0, 0, Outcome.RESET, 0.0, is_answered=False),
+        events.AttemptEnded("t/x", 0, 0, Outcome.RESET, 0.0, is_answered=False),
     ),
     (
         {"RESIDENT": {"worker": 11, "fn": "fn:a", "ending": "LATE", "how_many": 2, "took": 9.0}},
-        InstancesReported(11, "fn:a", Outcome.TIMEOUT, 2, 9.0),
+        events.InstancesReported(11, "fn:a", Outcome.TIMEOUT, 2, 9.0),
     ),
-    ({"DEADLINE_HIT": {"handle": 7}}, TimerFired(7)),
+    ({"DEADLINE_HIT": {"handle": 7}}, events.TimerFired(7)),
 ]
 
 
@@ -337,7 +317,7 @@
 
 
 def test_each_action_has_a_case_above():
-    assert {type(action) for action, _ in WRITTEN_ACTIONS} == set(get_args(Action))
+    assert {type(action) for action, _ in WRITTEN_ACTIONS} == set(get_args(actions.Action))
 
 
 @pytest.mark.parametrize(("message", "event"), READ_EVENTS)
@@ -350,7 +330,7 @@
 
 
 def test_each_event_but_the_drain_has_a_case_above():
-    assert {type(event) for _, event in READ_EVENTS} == set(get_args(Event)) - {DrainStarted}
+    assert {type(event) for _, event in READ_EVENTS} == set(get_args(events.Event)) - {events.DrainStarted}
 
 
 def test_unavailable_endpoint_list_is_no_event():
