--- a/soak/shim.c
+++ b/soak/shim.c
@@ -1,5 +1,6 @@
-/* A library for LD_PRELOAD that makes system calls of one router process fail as Linux documents, and steps its
- * wall clock. What it does is set in a control file that the soak test writes, and may change while it runs. */
+/* A library for LD_PRELOAD that injects faults into one router process: system calls fail as their man pages
+ * document, and the wall clock steps. What it injects is set in a control file that the soak test writes, and may
+ * change while the process runs. Each wrapper passes a call on to the C library, or fails it without a call. */
 
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -17,27 +18,30 @@
 #include <unistd.h>
 
 #define MAX_DESCRIPTORS 65536
+#define MAX_SHORT_BYTES 512 /* that a short transfer transfers */
 #define CONTROL_VARIABLE "SOAK_SHIM_CONTROL"
+#define CONFIGURATION_FILE "config.json" /* the end of its path */
 
-/* The shares of calls that fail, and the step of the wall clock. soak/shim.py writes the same fields. */
+/* What is injected: shares of calls that fail, from 0 to 1, and a step of the wall clock. soak/shim.py writes the
+ * same fields in the same order. */
 struct control {
     double offset_before_s; /* added to the wall clock before the step */
-    double offset_after_s;
-    double step_at_unix_s; /* of the machine's wall clock */
+    double offset_after_s;  /* added to it from the step on */
+    double step_at_unix_s;  /* when it steps, by the machine's wall clock */
     double accept_failures;
     double socket_failures;
     double connect_failures;
-    double interrupted_calls;
-    double short_transfers;
-    double buffer_failures; /* reads and writes that find no memory */
-    double broken_connections; /* reads and writes to workers after which the connection is dead */
-    double register_failures;
-    double open_failures; /* of the configuration file */
+    double interrupted_calls;  /* of epoll_wait, and of reads, writes and connects, that return EINTR */
+    double short_transfers;    /* of reads and writes, that transfer a part */
+    double buffer_failures;    /* of reads and writes, that find no memory */
+    double broken_connections; /* of reads and writes to workers, after which the connection is dead */
+    double register_failures;  /* of additions to an epoll instance */
+    double open_failures;      /* of the configuration file */
 };
 
-static struct control *control;
+static struct control *control; /* NULL without a control file: nothing is injected */
 static uint64_t random_state;
-static unsigned char is_outgoing[MAX_DESCRIPTORS];
+static unsigned char is_outgoing[MAX_DESCRIPTORS]; /* by file descriptor: whether it connects to a peer */
 
 __attribute__((constructor)) static void load_control(void) {
     const char *path = getenv(CONTROL_VARIABLE);
@@ -52,6 +56,7 @@
     random_state = 0x9E3779B97F4A7C15ULL * (uint64_t)(getpid() + 1);
 }
 
+/* The next number of a xorshift generator. */
 static uint64_t next_random(void) {
     random_state ^= random_state << 13;
     random_state ^= random_state >> 7;
@@ -59,157 +64,185 @@
     return random_state;
 }
 
-static int happens(double share) {
-    return control && share > 0 && (double)(next_random() >> 11) / 9007199254740992.0 < share;
+/* True for a share of the calls. */
+static int is_drawn(double share) {
+    return share > 0 && (double)(next_random() >> 11) / 9007199254740992.0 < share; /* 2 to the 53rd */
 }
 
+/* Whether the fault of a field of `struct control` hits this call. */
+#define INJECTS(field) (control && is_drawn(control->field))
+
+/* Set errno to one of the errors; always -1. */
 static int fail_with(const int *errors, size_t count) {
     errno = errors[next_random() % count];
     return -1;
 }
 
-#define FAIL_WITH(...)                                                                                             \
-    do {                                                                                                           \
-        const int errors[] = {__VA_ARGS__};                                                                        \
-        return fail_with(errors, sizeof errors / sizeof errors[0]);                                                \
-    } while (0)
+#define FAIL_WITH(...) fail_with((const int[]){__VA_ARGS__}, sizeof((int[]){__VA_ARGS__}) / sizeof(int))
 
+/* Declares `real`: the C library's function that the wrapper of this name calls. */
 #define REAL(name)                                                                                                 \
     static __typeof__(name) *real;                                                                                 \
     if (!real)                                                                                                     \
     real = dlsym(RTLD_NEXT, #name)
 
+static void set_outgoing(int fd, int outgoing) {
+    if (fd >= 0 && fd < MAX_DESCRIPTORS)
+        is_outgoing[fd] = (unsigned char)outgoing;
+}
+
+/* --- sockets */
+
+/* socket(2): the system-wide limit on open files (ENFILE), or no memory. Unix sockets are left alone. */
 int socket(int domain, int type, int protocol) {
     REAL(socket);
-    if ((domain == AF_INET) && happens(control ? control->socket_failures : 0))
-        FAIL_WITH(ENFILE, ENOBUFS, ENOMEM);
+    if (domain == AF_INET && INJECTS(socket_failures))
+        return FAIL_WITH(ENFILE, ENOBUFS, ENOMEM);
     int fd = real(domain, type, protocol);
-    if (fd >= 0 && fd < MAX_DESCRIPTORS)
-        is_outgoing[fd] = 0;
+    set_outgoing(fd, 0);
     return fd;
 }
 
+/* accept(2): the client has gone (ECONNABORTED), the limit on open files, no memory, a signal, or a protocol error.
+ * The connection stays in the queue of the listener. */
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     REAL(accept4);
-    if (happens(control ? control->accept_failures : 0))
-        FAIL_WITH(ECONNABORTED, ENFILE, ENOBUFS, EINTR, EPROTO);
+    if (INJECTS(accept_failures))
+        return FAIL_WITH(ECONNABORTED, ENFILE, ENOBUFS, EINTR, EPROTO);
     int accepted = real(fd, address, length, flags);
-    if (accepted >= 0 && accepted < MAX_DESCRIPTORS)
-        is_outgoing[accepted] = 0;
+    set_outgoing(accepted, 0);
     return accepted;
 }
 
+/* connect(2): no free local port (EADDRNOTAVAIL, EAGAIN) or no route; or a signal interrupts it, and the connection
+ * goes on coming up, as POSIX says. */
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect);
-    if (fd >= 0 && fd < MAX_DESCRIPTORS)
-        is_outgoing[fd] = 1;
-    if (happens(control ? control->connect_failures : 0))
-        FAIL_WITH(EADDRNOTAVAIL, ENETUNREACH, EAGAIN);
+    set_outgoing(fd, 1);
+    if (INJECTS(connect_failures))
+        return FAIL_WITH(EADDRNOTAVAIL, ENETUNREACH, EAGAIN);
     int result = real(fd, address, length);
-    if (result < 0 && errno == EINPROGRESS && happens(control ? control->interrupted_calls : 0))
-        errno = EINTR; /* the connection goes on coming up, as POSIX says */
+    if (result < 0 && errno == EINPROGRESS && INJECTS(interrupted_calls))
+        errno = EINTR;
     return result;
 }
 
+/* --- epoll */
+
+/* epoll_wait(2): a signal interrupts the wait. */
 int epoll_wait(int epoll, struct epoll_event *events, int count, int timeout) {
     REAL(epoll_wait);
-    if (happens(control ? control->interrupted_calls : 0))
-        FAIL_WITH(EINTR);
+    if (INJECTS(interrupted_calls))
+        return FAIL_WITH(EINTR);
     return real(epoll, events, count, timeout);
 }
 
+/* epoll_ctl(2): no memory, or the user's limit on watches (ENOSPC). */
 int epoll_ctl(int epoll, int operation, int fd, struct epoll_event *event) {
     REAL(epoll_ctl);
-    if (operation == EPOLL_CTL_ADD && happens(control ? control->register_failures : 0))
-        FAIL_WITH(ENOMEM, ENOSPC);
+    if (operation == EPOLL_CTL_ADD && INJECTS(register_failures))
+        return FAIL_WITH(ENOMEM, ENOSPC);
     return real(epoll, operation, fd, event);
 }
 
-/* Whether a read or write fails; errno is set then. */
-static int transfer_fails(int fd) {
-    if (happens(control ? control->interrupted_calls : 0)) {
-        errno = EINTR;
-        return 1;
-    }
-    if (happens(control ? control->buffer_failures : 0)) {
-        errno = next_random() % 2 ? ENOMEM : ENOBUFS;
-        return 1;
-    }
-    if (fd >= 0 && fd < MAX_DESCRIPTORS && is_outgoing[fd] &&
-        happens(control ? control->broken_connections : 0)) {
-        const int errors[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
+/* --- reads and writes */
+
+/* recv(2), send(2) and tcp(7): a signal, no memory, or a connection that has broken, which stays dead.
+ * 0, or -1 with errno set. */
+static int inject_transfer_failure(int fd) {
+    if (INJECTS(interrupted_calls))
+        return FAIL_WITH(EINTR);
+    if (INJECTS(buffer_failures))
+        return FAIL_WITH(ENOBUFS, ENOMEM);
+    if (fd >= 0 && fd < MAX_DESCRIPTORS && is_outgoing[fd] && INJECTS(broken_connections)) {
         shutdown(fd, SHUT_RDWR);
-        fail_with(errors, 3);
-        return 1;
+        return FAIL_WITH(ETIMEDOUT, EHOSTUNREACH, ECONNRESET);
     }
     return 0;
 }
 
-/* Cut a message down to a part of its first buffer. */
-static struct msghdr cut_short(const struct msghdr *message, struct iovec *first) {
-    struct msghdr cut = *message;
-    if (message->msg_iovlen && happens(control ? control->short_transfers : 0)) {
-        *first = message->msg_iov[0];
-        if (first->iov_len > 1)
-            first->iov_len = 1 + next_random() % (first->iov_len < 512 ? first->iov_len : 512);
-        cut.msg_iov = first;
-        cut.msg_iovlen = 1;
+/* A message for recvmsg or sendmsg, with a first buffer of its own for the case that it is cut short. */
+struct transfer {
+    struct msghdr message;
+    struct iovec first;
+};
+
+/* Inject into recvmsg(2) or sendmsg(2): a failure, or a transfer of a part of the first buffer, as both may return
+ * with less than was asked for. 0, or -1 with errno set. */
+static int inject_into_transfer(int fd, const struct msghdr *message, struct transfer *transfer) {
+    transfer->message = *message;
+    if (inject_transfer_failure(fd) < 0)
+        return -1;
+    if (message->msg_iovlen && INJECTS(short_transfers)) {
+        transfer->first = message->msg_iov[0];
+        size_t length = transfer->first.iov_len;
+        if (length > 1)
+            transfer->first.iov_len = 1 + next_random() % (length < MAX_SHORT_BYTES ? length : MAX_SHORT_BYTES);
+        transfer->message.msg_iov = &transfer->first;
+        transfer->message.msg_iovlen = 1;
     }
-    return cut;
+    return 0;
 }
 
-static void shift_timestamp(struct msghdr *message) {
+/* Move a time of the machine's wall clock to that of the process. */
+static void shift_wall_clock(struct timespec *time) {
+    double at_s = (double)time->tv_sec + (double)time->tv_nsec / 1e9;
+    time->tv_sec += (time_t)(at_s < control->step_at_unix_s ? control->offset_before_s : control->offset_after_s);
+}
+
+/* socket(7), SO_TIMESTAMPNS: the kernel's receive timestamps are of the wall clock, so that they step with it. */
+static void shift_timestamps(struct msghdr *message) {
     for (struct cmsghdr *part = CMSG_FIRSTHDR(message); part; part = CMSG_NXTHDR(message, part)) {
         if (part->cmsg_level == SOL_SOCKET && part->cmsg_type == SCM_TIMESTAMPNS) {
             struct timespec stamp;
             memcpy(&stamp, CMSG_DATA(part), sizeof stamp);
-            double at_s = (double)stamp.tv_sec + (double)stamp.tv_nsec / 1e9;
-            double offset_s = at_s < control->step_at_unix_s ? control->offset_before_s : control->offset_after_s;
-            stamp.tv_sec += (time_t)offset_s;
+            shift_wall_clock(&stamp);
             memcpy(CMSG_DATA(part), &stamp, sizeof stamp);
         }
     }
 }
 
+/* recvmsg(2): as `inject_into_transfer` says, and timestamps by the stepped clock. */
 ssize_t recvmsg(int fd, struct msghdr *message, int flags) {
     REAL(recvmsg);
+    struct transfer transfer;
     if (!control)
         return real(fd, message, flags);
-    if (transfer_fails(fd))
+    if (inject_into_transfer(fd, message, &transfer) < 0)
         return -1;
-    struct iovec first;
-    struct msghdr cut = cut_short(message, &first);
-    ssize_t count = real(fd, &cut, flags);
-    message->msg_controllen = cut.msg_controllen;
-    message->msg_flags = cut.msg_flags;
+    ssize_t count = real(fd, &transfer.message, flags);
+    message->msg_controllen = transfer.message.msg_controllen;
+    message->msg_flags = transfer.message.msg_flags;
     if (count > 0)
-        shift_timestamp(message);
+        shift_timestamps(message);
     return count;
 }
 
+/* sendmsg(2): as `inject_into_transfer` says. */
+ssize_t sendmsg(int fd, const struct msghdr *message, int flags) {
+    REAL(sendmsg);
+    struct transfer transfer;
+    if (inject_into_transfer(fd, message, &transfer) < 0)
+        return -1;
+    return real(fd, &transfer.message, flags);
+}
+
+/* recv(2): as `inject_transfer_failure` says. The router peeks with it, and reads its signals. */
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
     REAL(recv);
-    if (control && transfer_fails(fd))
+    if (inject_transfer_failure(fd) < 0)
         return -1;
     return real(fd, buffer, length, flags);
 }
 
-ssize_t sendmsg(int fd, const struct msghdr *message, int flags) {
-    REAL(sendmsg);
-    if (!control)
-        return real(fd, message, flags);
-    if (transfer_fails(fd))
-        return -1;
-    struct iovec first;
-    struct msghdr cut = cut_short(message, &first);
-    return real(fd, &cut, flags);
-}
+/* --- files */
 
 static int is_configuration(const char *path) {
-    const char *end = strstr(path, "config.json");
-    return end && strlen(end) == strlen("config.json");
+    const char *end = strstr(path, CONFIGURATION_FILE);
+    return end && strlen(end) == strlen(CONFIGURATION_FILE);
 }
 
+/* open(2), of the configuration file alone: a limit on open files, or no memory. */
 #define DEFINE_OPEN(name)                                                                                          \
     int name(const char *path, int flags, ...) {                                                                   \
         static int (*real)(const char *, int, ...);                                                                \
@@ -219,20 +252,21 @@
         va_start(arguments, flags);                                                                                \
         int mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(arguments, int) : 0;                                     \
         va_end(arguments);                                                                                         \
-        if (control && is_configuration(path) && happens(control->open_failures))                                  \
-            FAIL_WITH(ENFILE, EMFILE, ENOMEM);                                                                     \
+        if (is_configuration(path) && INJECTS(open_failures))                                                      \
+            return FAIL_WITH(ENFILE, EMFILE, ENOMEM);                                                              \
         return real(path, flags, mode);                                                                            \
     }
 
 DEFINE_OPEN(open)
 DEFINE_OPEN(open64)
 
+/* --- the wall clock */
+
+/* clock_gettime(2): CLOCK_REALTIME may be set, forward or back; the monotonic clock may not. */
 int clock_gettime(clockid_t clock, struct timespec *now) {
     REAL(clock_gettime);
     int result = real(clock, now);
-    if (control && result == 0 && clock == CLOCK_REALTIME) {
-        double at_s = (double)now->tv_sec + (double)now->tv_nsec / 1e9;
-        now->tv_sec += (time_t)(at_s < control->step_at_unix_s ? control->offset_before_s : control->offset_after_s);
-    }
+    if (control && result == 0 && clock == CLOCK_REALTIME)
+        shift_wall_clock(now);
     return result;
 }
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -11,7 +11,14 @@
 
 @dataclass
 class ShimControl:
-    """What the shim does; the fields are those of `struct control` in shim.c, in their order."""
+    """What the shim does: the fields of `struct control` in shim.c, in their order.
+
+    Attributes:
+        offset_before_s: added to the wall clock before the step.
+        offset_after_s: added to it from the step on.
+        step_at_unix_s: when the wall clock steps, by the machine's own one.
+        accept_failures: this and the others are shares of calls, from 0 to 1; shim.c says how each fails.
+    """
 
     offset_before_s: float = 0.0
     offset_after_s: float = 0.0
