--- a/soak/worker.py
+++ b/soak/worker.py
@@ -12,47 +12,68 @@
 from soak import site
 
 READ_BYTES = 65_536
-MAX_QUEUE = 24  # requests of one function that wait for a slot; more are turned away
+MAX_QUEUE = 24  # requests of one function that wait for an instance; more are rejected
+LISTEN_BACKLOG = 512
+MIN_START_FACTOR = 0.8  # of the mean time of a cold start
+MAX_START_FACTOR = 1.2
+
+# How a request found its instance, by the word on the wire.
+WARM = "reused"
+COLD_START = "init"
+JOINED_COLD_START = "shared_init"
 
 
 class FunctionInstances:
-    """The instances of one function on this worker."""
+    """The instances of one function on this worker.
+
+    Attributes:
+        count: instances that have started.
+        running: requests that run now.
+        waiting: requests that wait for an instance with room for one more.
+    """
 
     def __init__(self) -> None:
         self.count = 0
-        self.starting: asyncio.Task[None] | None = None
         self.running = 0
         self.waiting = 0
-        self.changed = asyncio.Condition()
+        self._starting: asyncio.Task[None] | None = None  # the latest cold start
+        self._changed = asyncio.Condition()
+
+    @property
+    def start_kind(self) -> str:
+        """How a request that arrives now finds its instance."""
+        if self.count:
+            return WARM
+        return JOINED_COLD_START if self._starting else COLD_START
 
     async def ensure(self, count: int) -> None:
-        """Start instances until so many stand."""
+        """Start instances, one after the other, until there are so many."""
         while self.count < count:
-            if self.starting is None or self.starting.done():
-                self.starting = asyncio.create_task(self._start_one())
-            await asyncio.shield(self.starting)
+            if self._starting is None or self._starting.done():
+                self._starting = asyncio.create_task(self._start_one())
+            await asyncio.shield(self._starting)
 
     async def _start_one(self) -> None:
-        await asyncio.sleep(site.START_S * random.uniform(0.8, 1.2))
-        async with self.changed:
+        await asyncio.sleep(site.START_S * random.uniform(MIN_START_FACTOR, MAX_START_FACTOR))
+        async with self._changed:
             self.count += 1
-            self.changed.notify_all()
+            self._changed.notify_all()
 
     async def run(self) -> None:
-        """Wait for a free slot, then run for a while."""
+        """Wait for an instance with room for one more request, then run for a while."""
         self.waiting += 1
         try:
-            async with self.changed:
-                await self.changed.wait_for(lambda: self.running < self.count * site.WORKER_CONCURRENCY)
+            async with self._changed:
+                await self._changed.wait_for(lambda: self.running < self.count * site.WORKER_CONCURRENCY)
                 self.running += 1
         finally:
             self.waiting -= 1
         try:
             await asyncio.sleep(random.expovariate(1 / site.MEAN_RUN_S))
         finally:
-            async with self.changed:
+            async with self._changed:
                 self.running -= 1
-                self.changed.notify_all()
+                self._changed.notify_all()
 
 
 class WorkerServer:
@@ -62,13 +83,13 @@
         self._functions: dict[str, FunctionInstances] = {}
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the frames of one connection until it ends, which gives up all that is open on it."""
+        """Answer the frames of one connection until it ends, which cancels all that runs for it."""
         frame_reader = frames.FrameReader(frames.FROM_ROUTER)
         tasks: dict[bytes, asyncio.Task[None]] = {}
         try:
             while data := await reader.read(READ_BYTES):
                 for frame in frame_reader.feed(data):
-                    self._take(frame, writer, tasks)
+                    self._on_frame(frame, writer, tasks)
                 if frame_reader.error:
                     break
         except OSError:
@@ -78,7 +99,7 @@
                 task.cancel()
             writer.close()
 
-    def _take(
+    def _on_frame(
         self, frame: frames.Frame, writer: asyncio.StreamWriter, tasks: dict[bytes, asyncio.Task[None]]
     ) -> None:
         if frame.code == frames.CANCEL:
@@ -94,11 +115,14 @@
         if function.waiting >= MAX_QUEUE:
             self._answer(frame, writer, frames.QUEUE_FULL, {frames.IN_FLIGHT_FIELD: in_flight})
             return
-        kind = "reused" if function.count else ("shared_init" if function.starting else "init")
+        start_kind = function.start_kind
         if not function.count:
             await function.ensure(1)
         await function.run()
-        fields: dict[str, int | str] = {frames.IN_FLIGHT_FIELD: in_flight, frames.START_KIND_FIELD: kind}
+        fields: dict[str, int | str] = {
+            frames.IN_FLIGHT_FIELD: in_flight,
+            frames.START_KIND_FIELD: start_kind,
+        }
         self._answer(frame, writer, frames.OK, fields, served_body(frame.exchange_id))
 
     async def _ensure(self, frame: frames.Frame, writer: asyncio.StreamWriter) -> None:
@@ -126,7 +150,9 @@
 
 async def main() -> None:
     """Listen on a free port of the loopback interface."""
-    server = await asyncio.start_server(WorkerServer().serve_connection, "127.0.0.1", 0, backlog=512)
+    server = await asyncio.start_server(
+        WorkerServer().serve_connection, "127.0.0.1", 0, backlog=LISTEN_BACKLOG
+    )
     print(server.sockets[0].getsockname()[1], flush=True)
     await server.serve_forever()
 
