--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -58,8 +58,8 @@
     for number in range(seed, seed + seeds):
         plan = draw_plan(
             number,
-            router_count=routers,
-            worker_count=workers,
+            routers,
+            workers,
             duration_s=seconds,
             requests_per_s=rate,
             kinds=kinds,
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,18 +1,30 @@
-"""What happens in a run: sizes, settings and faults, all drawn from a seed."""
+"""The plan of a run: its sizes, and which faults are injected when and where, all drawn from a seed.
+
+The same seed and options give the same plan in any version: recorded seeds stay of use. So the draws, and
+their order, don't change.
+"""
 
 import random
+from collections.abc import Sequence
 from enum import StrEnum
 
 from msgspec import Struct
 
 WARM_UP_S = 3.0
 COOL_DOWN_S = 2.0
-INJECTION_INTERVAL_S = 3.0  # between the times at which faults are injected together
-MAX_SIMULTANEOUS_FAULTS = 3  # that are injected together
+INJECTION_INTERVAL_S = 3.0
+INJECTION_SPREAD_S = 0.5  # within which faults that are injected together begin
+MAX_SIMULTANEOUS_FAULTS = 3  # that are injected together; those before them may still last
+MIN_FAULT_S = 1.0
+MAX_FAULT_S = 3.0
+MAX_ROUTER_SHARE = 0.5  # of all routers, that one fault hits
+MAX_WORKER_SHARE = 0.34
+MIN_FUNCTIONS = 8
+MAX_FUNCTIONS = 24
 
 
 class FaultKind(StrEnum):
-    """The faults, each of which hits some routers, workers or all."""
+    """The kinds of faults; `soak/faults.py` has what each does, and to whom."""
 
     ROUTER_ROLL = "router-roll"
     ROUTER_KILL = "router-kill"
@@ -34,18 +46,27 @@
 
 
 class Fault(Struct, frozen=True):
-    """One fault: when it begins, in seconds from the start of the traffic, and whom it hits."""
+    """One fault that is to be injected.
+
+    Attributes:
+        kind: what happens.
+        start_s: when it begins, in seconds from the start of the traffic.
+        duration_s: for how long a fault lasts that doesn't end by itself.
+        routers: the routers that a fault of routers hits.
+        workers: the worker slots that a fault of workers hits.
+        intensity: from 0 to 1; what it means is the fault's own.
+    """
 
     kind: FaultKind
     start_s: float
     duration_s: float
     routers: list[int]
     workers: list[int]
-    intensity: float  # from 0 to 1
+    intensity: float
 
 
 class Plan(Struct, frozen=True):
-    """A whole run."""
+    """A whole run; `duration_s` is the length of the traffic, `faults` are in the order of their starts."""
 
     seed: int
     router_count: int
@@ -58,30 +79,21 @@
 
 def draw_plan(
     seed: int,
-    *,
     router_count: int,
     worker_count: int,
+    *,
     duration_s: float,
     requests_per_s: float,
-    kinds: list[FaultKind],
+    kinds: Sequence[FaultKind],
 ) -> Plan:
-    """Draw a run in which up to three faults begin together every few seconds."""
+    """Draw a run in which up to three faults of these kinds are injected together every few seconds."""
     rng = random.Random(seed)
     faults: list[Fault] = []
     injection_s = WARM_UP_S
     while kinds and injection_s < duration_s - COOL_DOWN_S:
         count = rng.randint(1, min(MAX_SIMULTANEOUS_FAULTS, len(kinds)))
         for kind in rng.sample(kinds, count):
-            faults.append(
-                Fault(
-                    kind=kind,
-                    start_s=injection_s + rng.uniform(0.0, 0.5),
-                    duration_s=rng.uniform(1.0, INJECTION_INTERVAL_S),
-                    routers=_draw_targets(rng, router_count),
-                    workers=_draw_targets(rng, worker_count, largest_part=0.34),
-                    intensity=rng.random(),
-                )
-            )
+            faults.append(_draw_fault(rng, kind, injection_s, router_count, worker_count))
         injection_s += INJECTION_INTERVAL_S
     return Plan(
         seed=seed,
@@ -89,10 +101,24 @@
         worker_count=worker_count,
         duration_s=duration_s,
         requests_per_s=requests_per_s,
-        function_count=rng.randint(8, 24),
+        function_count=rng.randint(MIN_FUNCTIONS, MAX_FUNCTIONS),
         faults=sorted(faults, key=lambda fault: fault.start_s),
     )
 
 
-def _draw_targets(rng: random.Random, count: int, largest_part: float = 0.5) -> list[int]:
-    return sorted(rng.sample(range(count), rng.randint(1, max(1, int(largest_part * count)))))
+def _draw_fault(
+    rng: random.Random, kind: FaultKind, injection_s: float, router_count: int, worker_count: int
+) -> Fault:
+    return Fault(
+        kind=kind,
+        start_s=injection_s + rng.uniform(0.0, INJECTION_SPREAD_S),
+        duration_s=rng.uniform(MIN_FAULT_S, MAX_FAULT_S),
+        routers=_draw_targets(rng, router_count, MAX_ROUTER_SHARE),
+        workers=_draw_targets(rng, worker_count, MAX_WORKER_SHARE),
+        intensity=rng.random(),
+    )
+
+
+def _draw_targets(rng: random.Random, count: int, max_share: float) -> list[int]:
+    """At least one of `count` targets, and at most a share of them, in order."""
+    return sorted(rng.sample(range(count), rng.randint(1, max(1, int(max_share * count)))))
--- a/tests/test_soak_judge.py
+++ b/tests/test_soak_judge.py
@@ -44,9 +44,7 @@
         (tmp_path / "router-0.log").write_text(log)
         router = RouterProcessHandle(ROUTER, tmp_path, 1, {}, None)
         router.incarnations = [incarnation or RouterIncarnation(ROUTER, 90.0, ready_at=91.0)]
-        plan = draw_plan(
-            1, router_count=1, worker_count=1, duration_s=9.0, requests_per_s=1.0, kinds=list(FaultKind)
-        )
+        plan = draw_plan(1, 1, 1, duration_s=9.0, requests_per_s=1.0, kinds=list(FaultKind))
         record = RunRecord(plan, [router], list(worker_incarnations), tmp_path)
         return set(Judge(record).judge().violations)
 
@@ -141,12 +139,3 @@
 
 def test_fault_in_a_log_is_found(judge):
     assert judge(log="n0: unhandled exception in x\n") == {Rule.ERROR_LOGGED}
-
-
-def test_same_seed_draws_the_same_plan():
-    sizes = {"router_count": 9, "worker_count": 7, "duration_s": 60.0, "requests_per_s": 10.0}
-
-    plans = [draw_plan(seed, kinds=list(FaultKind), **sizes) for seed in (5, 5, 6)]
-
-    assert plans[0] == plans[1] != plans[2]
-    assert len({fault.kind for fault in plans[0].faults}) > 5
--- /dev/null
+++ b/tests/test_soak_plan.py
@@ -0,0 +1,60 @@
+"""Tests of the soak test's plans: a seed gives the same plan in every version."""
+
+import hashlib
+
+import msgspec
+import pytest
+
+from soak.plan import FaultKind, draw_plan
+
+ROUTERS = 9
+WORKERS = 7
+RECORDED_SEEDS = range(1, 51)
+RECORDED_DIGEST = "1631a6f47fefd288b6b70e3b3fc638fd53851cee63ab2dd250d1aa3025854275"  # of 88f6747
+
+
+def draw(seed, kinds=tuple(FaultKind)):
+    return draw_plan(seed, ROUTERS, WORKERS, duration_s=60.0, requests_per_s=10.0, kinds=kinds)
+
+
+def test_same_seed_draws_the_same_plan():
+    plans = [draw(seed) for seed in (5, 5, 6)]
+
+    assert plans[0] == plans[1] != plans[2]
+    assert len({fault.kind for fault in plans[0].faults}) > 5
+
+
+def test_recorded_seeds_draw_the_plans_that_they_drew_before():
+    digest = hashlib.sha256()
+    for seed in RECORDED_SEEDS:
+        plan = draw(seed)
+        faults = [
+            [fault.kind, fault.start_s, fault.duration_s, fault.routers, fault.workers, fault.intensity]
+            for fault in plan.faults
+        ]
+        digest.update(msgspec.json.encode([plan.function_count, faults]))
+
+    assert digest.hexdigest() == RECORDED_DIGEST
+
+
+def test_plan_has_only_faults_of_the_kinds_that_were_asked_for():
+    plan = draw(1, [FaultKind.ROUTER_PAUSE, FaultKind.CALLS_FAIL])
+
+    assert {fault.kind for fault in plan.faults} == {FaultKind.ROUTER_PAUSE, FaultKind.CALLS_FAIL}
+
+
+def test_plan_without_kinds_has_no_faults():
+    assert draw(1, []).faults == []
+
+
+@pytest.mark.parametrize("seed", range(1, 6))
+def test_faults_hit_targets_that_exist_in_order_of_their_starts(seed):
+    plan = draw(seed)
+
+    starts = [fault.start_s for fault in plan.faults]
+    assert starts == sorted(starts)
+    for fault in plan.faults:
+        assert set(fault.routers) <= set(range(ROUTERS))
+        assert set(fault.workers) <= set(range(WORKERS))
+        assert fault.routers
+        assert fault.workers
