--- a/soak/clients.py
+++ b/soak/clients.py
@@ -11,12 +11,10 @@
 from pathlib import Path
 from typing import Any
 
-from msgspec import Struct
-
 from soak import site
 from soak.bad_clients import run_bad_client
-from soak.commands import read_commands
-from soak.records import ClientGone, ConnectionLost, Recorder, RequestAnswered, RequestSent
+from soak.commands import ClientsCommand, read_commands
+from soak.records import AnswerKind, ClientGone, ConnectionLost, Recorder, RequestAnswered, RequestSent
 from soak.thrift_client import (
     ClientAnswer,
     ConnectionEndedError,
@@ -39,14 +37,6 @@
 SETTLE_S = 0.1  # for the tasks of closed connections to end
 
 
-class ClientsCommand(Struct, frozen=True):
-    """What the clients do from now on."""
-
-    ports: list[int]  # of the routers; 0 where clients are kept away
-    requests_per_s: float
-    bad_clients_per_s: float = 0.0
-
-
 class Clients:
     """Open-loop arrivals over all routers that are up."""
 
@@ -155,25 +145,27 @@
             if closes_early:
                 connection.close()
         if connection.surplus_answers:
-            self._recorder.add(RequestAnswered(request_id, time.monotonic(), "surplus"))
+            self._recorder.add(RequestAnswered(request_id, time.monotonic(), AnswerKind.SURPLUS))
             connection.surplus_answers = 0
         return False
 
     async def _await_answer(
-        self, answer: "asyncio.Future[ClientAnswer]", request_id: str, timeout_s: float
+        self, answer: asyncio.Future[ClientAnswer], request_id: str, timeout_s: float
     ) -> None:
         try:
             found = await asyncio.wait_for(answer, timeout_s + PATIENCE_S)
         except TimeoutError:
             return
-        is_genuine = found.kind != "served" or found.body == served_body(bytes.fromhex(request_id))
+        is_genuine = found.kind is not AnswerKind.SERVED or found.body == served_body(
+            bytes.fromhex(request_id)
+        )
         self._recorder.add(RequestAnswered(request_id, found.at, found.kind, is_genuine))
 
     async def _leave_early(
         self,
         connection: ThriftConnection,
         seqid: int,
-        answer: "asyncio.Future[ClientAnswer]",
+        answer: asyncio.Future[ClientAnswer],
         request_id: str,
         timeout_s: float,
         *,
--- a/soak/commands.py
+++ b/soak/commands.py
@@ -1,4 +1,7 @@
-"""Commands to a process of the soak test: JSON lines on its standard input."""
+"""Commands to the processes of the soak test: JSON lines on their standard input.
+
+A command replaces the one before it: it states all that its receiver does from now on.
+"""
 
 import asyncio
 import sys
@@ -6,8 +9,27 @@
 from typing import TypeVar
 
 import msgspec
+from msgspec import Struct
+
+
+class ClientsCommand(Struct, frozen=True):
+    """What the clients do from now on."""
+
+    ports: list[int]  # of the routers; 0 where clients are kept away
+    requests_per_s: float
+    bad_clients_per_s: float = 0.0
+
+
+class ProxyCommand(Struct, frozen=True):
+    """What the proxy does in front of a worker slot from now on."""
+
+    worker: int
+    target_port: int | None  # None: connections are reset and new ones refused
+    corrupted_share: float = 0.0  # of what the worker sends, by reads
+    reset_connections: bool = False  # reset those that are open now
+
 
-CommandT = TypeVar("CommandT", bound=msgspec.Struct)
+CommandT = TypeVar("CommandT", ClientsCommand, ProxyCommand)
 
 
 async def read_commands(kind: type[CommandT]) -> AsyncIterator[CommandT]:
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -14,14 +14,15 @@
 from soak import site
 from soak.processes import RouterIncarnation
 from soak.records import (
-    AnswerSeen,
+    AnswerKind,
     AttemptSeen,
     BadClientSeen,
     ClientGone,
     ConnectionLost,
-    OrderSeen,
     RequestAnswered,
     RequestSent,
+    StartOrderSeen,
+    WorkerAnswerSeen,
     read_records,
 )
 from soak.run import RunRecord, WorkerIncarnation
@@ -83,10 +84,11 @@
     gone: ClientGone | None = None
     lost: list[ConnectionLost] = field(default_factory=list)
     attempts: list[AttemptSeen] = field(default_factory=list)
-    worker_answers: list[AnswerSeen] = field(default_factory=list)
+    worker_answers: list[WorkerAnswerSeen] = field(default_factory=list)
 
     def add(
-        self, item: RequestSent | RequestAnswered | ClientGone | ConnectionLost | AttemptSeen | AnswerSeen
+        self,
+        item: RequestSent | RequestAnswered | ClientGone | ConnectionLost | AttemptSeen | WorkerAnswerSeen,
     ) -> None:
         """Add what was recorded."""
         match item:
@@ -100,7 +102,7 @@
                 self.lost.append(item)
             case AttemptSeen():
                 self.attempts.append(item)
-            case AnswerSeen():
+            case WorkerAnswerSeen():
                 self.worker_answers.append(item)
 
 
@@ -111,7 +113,7 @@
         self._record = record
         self._verdict = Verdict()
         self._requests: dict[str, RequestHistory] = defaultdict(RequestHistory)
-        self._orders: list[OrderSeen] = []
+        self._orders: list[StartOrderSeen] = []
         self._bad_clients: list[BadClientSeen] = []
         self._read()
 
@@ -133,7 +135,7 @@
     def _read(self) -> None:
         for name in ("clients.jsonl", "proxy.jsonl"):
             for item in read_records(self._record.folder / name):
-                if isinstance(item, OrderSeen):
+                if isinstance(item, StartOrderSeen):
                     self._orders.append(item)
                 elif isinstance(item, BadClientSeen):
                     self._bad_clients.append(item)
@@ -150,13 +152,13 @@
         sent = history.sent[-1]
         figures = self._verdict.figures
         figures["requests"] += 1
-        figures["sent again after a close"] += sum(lost.is_repeated for lost in history.lost)
+        figures["sent again after a close"] += sum(lost.is_retried for lost in history.lost)
         where = f"{request_id} {sent.class_name} at router {sent.router}, sent at {sent.at:.3f}"
         if history.gone:
             figures["clients that left"] += 1
             return
         if any(not answer.is_genuine for answer in history.answers) or len(history.answers) > 1:
-            kinds = [answer.kind for answer in history.answers]
+            kinds = [answer.kind.value for answer in history.answers]
             self._verdict.add(Rule.DUPLICATE, f"{where}: {kinds}")
         if not history.answers:
             if not self._was_killed(sent):
@@ -175,7 +177,7 @@
     def _check_rejection(self, where: str, history: RequestHistory, answer: RequestAnswered) -> None:
         may_have_run = [each for each in history.attempts if not self._never_ran(each, history)]
         effect = site.CLASS_EFFECTS[history.sent[0].class_name]
-        if answer.kind == "throttled" and effect == "at_most_once" and may_have_run:
+        if answer.kind is AnswerKind.THROTTLED and effect == "at_most_once" and may_have_run:
             self._verdict.add(Rule.REJECTED_AFTER_RUN, f"{where}: attempt at {may_have_run[0].at:.3f}")
 
     def _was_killed(self, sent: RequestSent) -> bool:
@@ -194,14 +196,13 @@
         for attempt in history.attempts:
             self._verdict.figures["attempts"] += 1
             sent = history.sent[-1]
-            where = (
-                f"{request_id}: router {attempt.router} to worker {attempt.worker} at {attempt.began_at:.3f}"
-            )
+            to_worker = f"router {attempt.router} to worker {attempt.worker}"
+            where = f"{request_id}: {to_worker} at {attempt.first_byte_at:.3f}"
             if history.gone:
-                late_s = attempt.began_at - history.gone.at
+                late_s = attempt.first_byte_at - history.gone.at
                 if late_s > CLIENT_GONE_S + MEASURING_SLACK_S:
                     self._verdict.add(Rule.CLIENT_GONE, f"{where}, {late_s:.3f} s after its client left")
-            left_s = sent.at + sent.timeout_s - attempt.began_at
+            left_s = sent.at + sent.timeout_s - attempt.first_byte_at
             excess_s = attempt.timeout_ms / 1000 - left_s
             if excess_s > TIMEOUT_SLACK_S + MEASURING_SLACK_S:
                 self._verdict.add(Rule.TIMEOUT, f"{where}: {excess_s:.3f} s too much")
@@ -234,9 +235,9 @@
     def _new_work(self, worker: int) -> list[tuple[float, int]]:
         """When new work began to arrive at a worker slot, and from which router, in order."""
         attempts = (each for history in self._requests.values() for each in history.attempts)
-        work = [(each.began_at, each.router) for each in attempts if each.worker == worker]
+        work = [(each.first_byte_at, each.router) for each in attempts if each.worker == worker]
         orders = (each for each in self._orders if each.worker == worker and each.instances)
-        return sorted([*work, *((each.began_at, each.router) for each in orders)])
+        return sorted([*work, *((each.first_byte_at, each.router) for each in orders)])
 
     def _check_drains(self) -> None:
         incarnations = self._record.worker_incarnations
@@ -291,11 +292,11 @@
             end = incarnation.exited_at or math.inf
             taken = sorted(at for at in sent[incarnation.router] if incarnation.started_at <= at <= end)
             orders = sorted(
-                each.began_at
+                each.first_byte_at
                 for each in self._orders
                 if each.router == incarnation.router
                 and each.instances
-                and incarnation.started_at <= each.began_at <= end
+                and incarnation.started_at <= each.first_byte_at <= end
             )
             for last, at in enumerate(orders):
                 since = at - site.START_WINDOW_S
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -14,7 +14,7 @@
 
 from soak import site
 from soak.shim import CONTROL_VARIABLE, ShimControl
-from soak.thrift_client import ThriftConnection, encode_status
+from soak.thrift_client import is_router_ready
 
 ROOT = Path(__file__).parent.parent
 READY_TIMEOUT_S = 30.0
@@ -158,25 +158,11 @@
     async def _wait_ready(self) -> None:
         end = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < end and self.process and self.process.returncode is None:
-            if await self._is_ready():
+            if await is_router_ready(self.port):
                 self.incarnation.ready_at = time.monotonic()
                 return
             await asyncio.sleep(READY_POLL_S)
 
-    async def _is_ready(self) -> bool:
-        try:
-            connection = await ThriftConnection.open(self.port)
-        except OSError:
-            return False
-        try:
-            answer = connection.expect_answer(1)
-            connection.send(encode_status(1))
-            return (await asyncio.wait_for(answer, 1.0)).kind == "served"
-        except Exception:  # noqa: BLE001 - not ready yet, whatever the reason
-            return False
-        finally:
-            connection.close()
-
     def signal(self, number: int) -> None:
         """Send its process a signal, if it still runs."""
         if self.process and self.process.returncode is None:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,116 +1,149 @@
-"""The proxy between all routers and workers: a tap for the judge, and where faults are injected.
+"""The proxy between all routers and workers: it records frames for the checker, and injects faults.
 
-Each pair of a router and a worker has an address of its own, so that what arrives is known by its router.
-The first line on standard output has the ports, by router and worker; commands come as JSON lines on
+Each pair of a router and a worker slot has an address of its own, so that it knows whose bytes arrive. The
+first line on standard output has the ports, by router and worker slot; commands come as JSON lines on
 standard input.
 """
 
 import asyncio
+import contextlib
 import random
 import socket
 import struct
 import sys
 import time
+from collections.abc import Callable
 from pathlib import Path
 
 import msgspec
-from msgspec import Struct
 
 from function_router.net.codecs import worker_frames as frames
-from soak.commands import read_commands
+from soak.commands import ProxyCommand, read_commands
+from soak.frame_tap import FrameTap, TappedFrame
 from soak.ports import PROXY_PORTS, PortRange, listen
-from soak.records import AnswerSeen, AttemptSeen, OrderSeen, Recorder
+from soak.records import AttemptSeen, Recorder, StartOrderSeen, WorkerAnswerSeen
 
 READ_BYTES = 65_536
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
 
 
-class ProxyCommand(Struct, frozen=True):
-    """What the proxy does before a worker from now on."""
-
-    worker: int
-    target_port: int | None  # None: connections are refused
-    corrupted_share: float = 0.0  # of the worker's answers
-    reset_connections: bool = False  # reset those that are open now
-
-
-class Pair:
-    """One router's way to one worker."""
+class Route:
+    """One router's way to one worker slot, and the connections that routers have open on it."""
 
     def __init__(self, router: int, worker: int) -> None:
         self.router = router
         self.worker = worker
         self.port = 0
         self.server: asyncio.Server | None = None
-        self.open: set[asyncio.StreamWriter] = set()
+        self.connections: set[asyncio.StreamWriter] = set()
+
+    def refuse_connections(self) -> None:
+        """Listen no more."""
+        if self.server:
+            self.server.close()
+            self.server = None
+
+    def reset_connections(self) -> None:
+        """Reset all open connections."""
+        for writer in list(self.connections):
+            reset(writer)
 
 
-class FrameTap:
-    """Finds the frames in one direction of a connection, and when each began."""
+class RouteRecorder:
+    """Records the frames of one route for the checker."""
 
-    def __init__(self, direction: int) -> None:
-        self._reader = frames.FrameReader(direction)
-        self._began_at: float | None = None
+    def __init__(self, route: Route, recorder: Recorder) -> None:
+        self._route = route
+        self._recorder = recorder
 
-    def feed(self, data: bytes) -> list[tuple[float, frames.Frame]]:
-        """The frames that are complete now, each with the time of its first byte."""
+    def record_from_router(self, tapped: TappedFrame) -> None:
+        """Record an attempt or a start order."""
+        frame = tapped.frame
         now = time.monotonic()
-        found: list[tuple[float, frames.Frame]] = []
-        for frame in self._reader.feed(data):
-            found.append((self._began_at or now, frame))
-            self._began_at = None
-        if not self._reader.has_partial_frame:
-            self._began_at = None
-        elif self._began_at is None:
-            self._began_at = now
-        return found
+        if frame.code == frames.RUN:
+            self._recorder.add(
+                AttemptSeen(
+                    router=self._route.router,
+                    worker=self._route.worker,
+                    request_id=frame.exchange_id.hex(),
+                    first_byte_at=tapped.first_byte_at,
+                    at=now,
+                    timeout_ms=float(frame.fields[frames.TIMEOUT_MS_FIELD]),
+                    class_name=frame.fields[frames.CLASS_FIELD],
+                )
+            )
+        elif frame.code == frames.ENSURE_INSTANCES:
+            instances = int(frame.fields[frames.INSTANCES_FIELD])
+            self._recorder.add(
+                StartOrderSeen(self._route.router, self._route.worker, tapped.first_byte_at, now, instances)
+            )
+
+    def record_from_worker(self, tapped: TappedFrame) -> None:
+        """Record a worker's answer."""
+        frame = tapped.frame
+        self._recorder.add(
+            WorkerAnswerSeen(
+                self._route.router,
+                self._route.worker,
+                frame.exchange_id.hex(),
+                time.monotonic(),
+                frame.code,
+            )
+        )
 
 
 class Proxy:
-    """All pairs, and what is to happen before each worker."""
+    """All routes, and what happens on those to each worker slot."""
 
     def __init__(self, router_count: int, worker_count: int, recorder: Recorder) -> None:
-        self.pairs = [[Pair(r, w) for w in range(worker_count)] for r in range(router_count)]
+        self._routes = [
+            [Route(router, worker) for worker in range(worker_count)] for router in range(router_count)
+        ]
         self._recorder = recorder
         self._ports = PortRange(PROXY_PORTS)
-        self._commands: dict[int, ProxyCommand] = {}
+        self._commands: dict[int, ProxyCommand] = {}  # the latest one, by worker slot
+
+    @property
+    def ports(self) -> list[list[int]]:
+        """Where it listens, by router and worker slot."""
+        return [[route.port for route in routes] for routes in self._routes]
 
     async def listen(self) -> None:
-        """Listen for all pairs."""
-        for row in self.pairs:
-            for pair in row:
-                await self._listen(pair)
+        """Listen for all routes."""
+        for routes in self._routes:
+            for route in routes:
+                await self._listen(route)
 
     async def apply(self, command: ProxyCommand) -> None:
         """Follow a command from now on."""
         self._commands[command.worker] = command
-        for pair in (row[command.worker] for row in self.pairs):
-            if command.target_port is None and pair.server:
-                pair.server.close()
-                pair.server = None
-            if command.reset_connections or command.target_port is None:
-                for writer in list(pair.open):
-                    reset(writer)
-            if command.target_port is not None and pair.server is None:
-                await self._listen(pair)
-
-    async def _listen(self, pair: Pair) -> None:
+        is_refusing = command.target_port is None
+        for route in (routes[command.worker] for routes in self._routes):
+            if is_refusing:
+                route.refuse_connections()
+            if is_refusing or command.reset_connections:
+                route.reset_connections()
+            if not is_refusing and route.server is None:
+                await self._listen(route)
+
+    async def _listen(self, route: Route) -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await self._serve(pair, reader, writer)
+            await self._serve(route, reader, writer)
 
-        pair.port = pair.port or self._ports.take()
-        pair.server = await listen(serve, pair.port)
+        route.port = route.port or self._ports.take()
+        route.server = await listen(serve, route.port)
 
-    async def _serve(self, pair: Pair, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        pair.open.add(writer)
+    async def _serve(self, route: Route, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Forward a connection of a router in both directions until one of them ends."""
+        route.connections.add(writer)
         try:
-            port = self._commands[pair.worker].target_port
+            port = self._commands[route.worker].target_port
             worker_reader, worker_writer = await asyncio.open_connection("127.0.0.1", port)
-            pumps = (
-                self._from_router(pair, reader, worker_writer),
-                self._from_worker(pair, worker_reader, writer),
+            directions = (
+                self._forward_from_router(route, reader, worker_writer),
+                self._forward_from_worker(route, worker_reader, writer),
             )
-            tasks = [asyncio.create_task(pump) for pump in pumps]
+            tasks = [asyncio.create_task(direction) for direction in directions]
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in tasks:
                 task.cancel()
@@ -118,57 +151,52 @@
         except OSError:
             reset(writer)
         finally:
-            pair.open.discard(writer)
+            route.connections.discard(writer)
             writer.close()
 
-    async def _from_router(
-        self, pair: Pair, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _forward_from_router(
+        self, route: Route, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         tap = FrameTap(frames.FROM_ROUTER)
-        try:
-            while data := await reader.read(READ_BYTES):
-                for began_at, frame in tap.feed(data):
-                    self._record(pair, began_at, frame)
-                writer.write(data)
-        except OSError:
-            pass
+        record = RouteRecorder(route, self._recorder).record_from_router
+        with contextlib.suppress(OSError):
+            await forward(reader, writer, tap, record)
 
-    def _record(self, pair: Pair, began_at: float, frame: frames.Frame) -> None:
-        now = time.monotonic()
-        if frame.code == frames.RUN:
-            timeout_ms = float(frame.fields[frames.TIMEOUT_MS_FIELD])
-            request_id = frame.exchange_id.hex()
-            class_name = frame.fields[frames.CLASS_FIELD]
-            self._recorder.add(
-                AttemptSeen(pair.router, pair.worker, request_id, began_at, now, timeout_ms, class_name)
-            )
-        elif frame.code == frames.ENSURE_INSTANCES:
-            instances = int(frame.fields[frames.INSTANCES_FIELD])
-            self._recorder.add(OrderSeen(pair.router, pair.worker, began_at, now, instances))
-
-    async def _from_worker(
-        self, pair: Pair, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _forward_from_worker(
+        self, route: Route, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         tap = FrameTap(frames.FROM_WORKER)
+        record = RouteRecorder(route, self._recorder).record_from_worker
         try:
-            while data := await reader.read(READ_BYTES):
-                for _, frame in tap.feed(data):
-                    self._recorder.add(
-                        AnswerSeen(
-                            pair.router, pair.worker, frame.exchange_id.hex(), time.monotonic(), frame.code
-                        )
-                    )
-                writer.write(self._corrupt(pair, data))
+            await forward(reader, writer, tap, record, lambda data: self._corrupt(route, data))
         except OSError:
-            reset(writer)
+            reset(writer)  # as the worker's end did: the router sees no orderly close
 
-    def _corrupt(self, pair: Pair, data: bytes) -> bytes:
-        """The same bytes, or what a share of them becomes: noise, a double, or a part."""
-        if random.random() >= self._commands[pair.worker].corrupted_share:
+    def _corrupt(self, route: Route, data: bytes) -> bytes:
+        """The same bytes or, for the worker's corrupted share, noise, the bytes twice, or half of them."""
+        if random.random() >= self._commands[route.worker].corrupted_share:
             return data
         return random.choice((random.randbytes(len(data)), data + data, data[: len(data) // 2]))
 
 
+async def forward(
+    reader: asyncio.StreamReader,
+    writer: asyncio.StreamWriter,
+    tap: FrameTap,
+    record: Callable[[TappedFrame], None],
+    transform: Callable[[bytes], bytes] = bytes,
+) -> None:
+    """Forward bytes until their end, and record their frames as they were before `transform`.
+
+    Raises:
+        OSError: The connection of the reader broke.
+    """
+    while data := await reader.read(READ_BYTES):
+        for tapped in tap.feed(data):
+            record(tapped)
+        writer.write(transform(data))
+
+
 def reset(writer: asyncio.StreamWriter) -> None:
     """Reset a connection rather than close it."""
     if sock := writer.get_extra_info("socket"):
@@ -184,8 +212,7 @@
     recorder = Recorder(record_path)
     proxy = Proxy(router_count, worker_count, recorder)
     await proxy.listen()
-    ports = [[pair.port for pair in row] for row in proxy.pairs]
-    print(msgspec.json.encode(ports).decode(), flush=True)
+    print(msgspec.json.encode(proxy.ports).decode(), flush=True)
     async for command in read_commands(ProxyCommand):
         await proxy.apply(command)
     recorder.close()
--- a/soak/records.py
+++ b/soak/records.py
@@ -1,6 +1,7 @@
-"""What the processes of a run record, as JSON lines; times are seconds of the machine's monotonic clock."""
+"""What the processes of a run observe, as JSON lines; times are seconds of the machine's monotonic clock."""
 
 from collections.abc import Iterator
+from enum import StrEnum
 from pathlib import Path
 from typing import IO
 
@@ -8,6 +9,16 @@
 from msgspec import Struct
 
 
+class AnswerKind(StrEnum):
+    """What a router answers a request with."""
+
+    SERVED = "served"  # the response of a worker
+    THROTTLED = "throttled"  # a rejection: nothing has run
+    BROKEN = "broken"  # an error: it may have run
+    EXCEPTION = "exception"  # an application exception of Thrift
+    SURPLUS = "surplus"  # an answer to a request that has one already
+
+
 class RequestSent(Struct, tag=True, frozen=True):
     """A client has written the last byte of a request to an accepted connection."""
 
@@ -23,7 +34,7 @@
 
     request_id: str
     at: float
-    kind: str
+    kind: AnswerKind
     is_genuine: bool = True
 
 
@@ -35,27 +46,27 @@
 
 
 class ConnectionLost(Struct, tag=True, frozen=True):
-    """The connection of a request ended without its answer; `is_repeated` where the client sent it again."""
+    """The connection of a request ended without its answer; `is_retried` where the client sent it again."""
 
     request_id: str
     at: float
     cause: str
-    is_repeated: bool
+    is_retried: bool
 
 
 class AttemptSeen(Struct, tag=True, frozen=True):
-    """A request has arrived whole at the proxy before a worker."""
+    """A request has arrived whole, at `at`, at the proxy in front of a worker slot."""
 
     router: int
     worker: int
     request_id: str
-    began_at: float
+    first_byte_at: float
     at: float
     timeout_ms: float
     class_name: str
 
 
-class AnswerSeen(Struct, tag=True, frozen=True):
+class WorkerAnswerSeen(Struct, tag=True, frozen=True):
     """A worker has answered an attempt; `code` is that of the frame."""
 
     router: int
@@ -65,12 +76,12 @@
     code: int
 
 
-class OrderSeen(Struct, tag=True, frozen=True):
-    """A start order, or with 0 instances a probe, has arrived whole at the proxy before a worker."""
+class StartOrderSeen(Struct, tag=True, frozen=True):
+    """A start order, or with 0 instances a probe, has arrived whole, at `at`, at the proxy."""
 
     router: int
     worker: int
-    began_at: float
+    first_byte_at: float
     at: float
     instances: int
 
@@ -85,22 +96,14 @@
     is_settled: bool  # it got a rejection, an error or a close
 
 
-Record = (
-    RequestSent
-    | RequestAnswered
-    | ClientGone
-    | ConnectionLost
-    | AttemptSeen
-    | AnswerSeen
-    | OrderSeen
-    | BadClientSeen
-)
+RequestRecord = RequestSent | RequestAnswered | ClientGone | ConnectionLost | AttemptSeen | WorkerAnswerSeen
+Record = RequestRecord | StartOrderSeen | BadClientSeen
 _ENCODER = msgspec.json.Encoder()
 _DECODER = msgspec.json.Decoder(Record)
 
 
 class Recorder:
-    """Appends records to a file."""
+    """Appends records to a file; whoever makes it closes it."""
 
     def __init__(self, path: Path) -> None:
         self._file: IO[bytes] = path.open("ab")
--- a/soak/run.py
+++ b/soak/run.py
@@ -14,13 +14,12 @@
 import msgspec
 
 from soak import site
-from soak.clients import ClientsCommand
+from soak.commands import ClientsCommand, ProxyCommand
 from soak.endpoint_events import Endpoint, EndpointEvent, EndpointPhase
 from soak.endpoint_log import EndpointLogServer
 from soak.plan import Fault, FaultKind, Plan
 from soak.ports import OTHER_PORTS, PortRange
 from soak.processes import ModuleProcess, RouterProcessHandle
-from soak.proxy import ProxyCommand
 from soak.shim import ShimControl, build
 
 SOCKETS = 256  # the descriptors of a router
--- a/tests/test_soak_judge.py
+++ b/tests/test_soak_judge.py
@@ -7,15 +7,16 @@
 from soak.plan import FaultKind, draw_plan
 from soak.processes import RouterIncarnation, RouterProcessHandle
 from soak.records import (
-    AnswerSeen,
+    AnswerKind,
     AttemptSeen,
     BadClientSeen,
     ClientGone,
     ConnectionLost,
-    OrderSeen,
     Recorder,
     RequestAnswered,
     RequestSent,
+    StartOrderSeen,
+    WorkerAnswerSeen,
 )
 from soak.run import RunRecord, WorkerIncarnation
 
@@ -24,7 +25,7 @@
 ID = "ab" * 8
 SENT = RequestSent(ID, ROUTER, "view", 100.0, 2.0)
 SENT_SETTLE = RequestSent(ID, ROUTER, "settle", 100.0, 2.0)
-SERVED = RequestAnswered(ID, 100.5, "served")
+SERVED = RequestAnswered(ID, 100.5, AnswerKind.SERVED)
 
 
 def attempt_at(at, worker=WORKER, timeout_ms=1_500.0, class_name="view"):
@@ -55,10 +56,12 @@
     ("records", "rule"),
     [
         pytest.param([SENT], Rule.LOST, id="no answer"),
-        pytest.param([SENT, RequestAnswered(ID, 102.7, "broken")], Rule.LOST, id="too late"),
+        pytest.param([SENT, RequestAnswered(ID, 102.7, AnswerKind.BROKEN)], Rule.LOST, id="too late"),
         pytest.param([SENT, ConnectionLost(ID, 100.4, "reset", False)], Rule.LOST, id="connection lost"),
         pytest.param([SENT, SERVED, SERVED], Rule.DUPLICATE, id="two answers"),
-        pytest.param([SENT, RequestAnswered(ID, 100.5, "served", False)], Rule.DUPLICATE, id="not genuine"),
+        pytest.param(
+            [SENT, RequestAnswered(ID, 100.5, AnswerKind.SERVED, False)], Rule.DUPLICATE, id="not genuine"
+        ),
         pytest.param([SENT, ClientGone(ID, 100.2), attempt_at(100.4)], Rule.CLIENT_GONE, id="client gone"),
         pytest.param([SENT, SERVED, attempt_at(100.3, timeout_ms=1_950.0)], Rule.TIMEOUT, id="timeout"),
         pytest.param(
@@ -72,12 +75,16 @@
             id="repeat",
         ),
         pytest.param(
-            [SENT_SETTLE, RequestAnswered(ID, 100.5, "throttled"), attempt_at(100.1, class_name="settle")],
+            [
+                SENT_SETTLE,
+                RequestAnswered(ID, 100.5, AnswerKind.THROTTLED),
+                attempt_at(100.1, class_name="settle"),
+            ],
             Rule.REJECTED_AFTER_RUN,
             id="rejected after run",
         ),
         pytest.param(
-            [OrderSeen(ROUTER, WORKER, 100.0, 100.0, 1)] * 5, Rule.START_ORDER_RATE, id="start orders"
+            [StartOrderSeen(ROUTER, WORKER, 100.0, 100.0, 1)] * 5, Rule.START_ORDER_RATE, id="start orders"
         ),
         pytest.param([BadClientSeen(ROUTER, "noise", 100.0, 3.5, True)], Rule.BAD_CLIENT, id="bad client"),
     ],
@@ -87,7 +94,7 @@
 
 
 def test_run_by_the_rules_is_kept(judge):
-    never_ran = AnswerSeen(ROUTER, WORKER, ID, 100.15, 3)
+    never_ran = WorkerAnswerSeen(ROUTER, WORKER, ID, 100.15, 3)
     records = [SENT_SETTLE, SERVED, attempt_at(100.1, class_name="settle"), never_ran]
 
     assert judge(*records, attempt_at(100.3, class_name="settle", worker=1)) == set()
@@ -130,7 +137,7 @@
     for number in range(count):
         request_id = f"{number:016x}"
         records.append(RequestSent(request_id, ROUTER, "view", 100.05, 2.0))
-        records.append(RequestAnswered(request_id, 100.5, "served"))
+        records.append(RequestAnswered(request_id, 100.5, AnswerKind.SERVED))
         records.append(AttemptSeen(ROUTER, WORKER, request_id, 100.2, 100.2, 1_500.0, "view"))
 
     assert judge(*records, worker_incarnations=[cold]) == {Rule.SLOW_START}
