--- a/soak/clients.py
+++ b/soak/clients.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 from typing import Any
 
+from function_router.decisions.types import RetrySafety
 from soak import site
 from soak.bad_clients import run_bad_client
 from soak.commands import ClientsCommand, read_commands
@@ -90,7 +91,7 @@
     async def _request(self, router: int) -> None:
         """One request, which is sent again once where it crosses the close of its connection."""
         class_name = self._rng.choices(list(site.CLASS_SHARES), list(site.CLASS_SHARES.values()))[0]
-        timeout_ms = int(site.GIVE_UP_MS * self._rng.uniform(MIN_TIMEOUT_SHARE, 1.0))
+        timeout_ms = int(site.MAX_TIMEOUT_MS * self._rng.uniform(MIN_TIMEOUT_SHARE, 1.0))
         request_id = f"{self._rng.getrandbits(64):016x}"
         fields = {
             "op": class_name,
@@ -100,7 +101,7 @@
             "row": self._rng.choices(self._functions, self._weights)[0],
             "props": f"memory_mb:128;lanes:{site.WORKER_CONCURRENCY}",
         }
-        if class_name == "save":
+        if site.RETRY_SAFETY_BY_CLASS[class_name] is RetrySafety.IDEMPOTENCY_KEY:
             fields["dedupe"] = request_id * 2
         is_crossing = await self._send(router, request_id, class_name, timeout_ms / 1000, fields)
         if is_crossing and self._command.ports[router]:
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
+from function_router.decisions.types import RetrySafety
 from soak import site
 from soak.processes import RouterIncarnation
 from soak.records import (
@@ -176,8 +177,8 @@
 
     def _check_rejection(self, where: str, history: RequestHistory, answer: RequestAnswered) -> None:
         may_have_run = [each for each in history.attempts if not self._never_ran(each, history)]
-        effect = site.CLASS_EFFECTS[history.sent[0].class_name]
-        if answer.kind is AnswerKind.THROTTLED and effect == "at_most_once" and may_have_run:
+        retry_safety = site.RETRY_SAFETY_BY_CLASS[history.sent[0].class_name]
+        if answer.kind is AnswerKind.THROTTLED and retry_safety is RetrySafety.AT_MOST_ONCE and may_have_run:
             self._verdict.add(Rule.REJECTED_AFTER_RUN, f"{where}: attempt at {may_have_run[0].at:.3f}")
 
     def _was_killed(self, sent: RequestSent) -> bool:
@@ -217,18 +218,20 @@
         )
 
     def _check_repeats(self, request_id: str, history: RequestHistory) -> None:
-        effect = site.CLASS_EFFECTS[history.sent[0].class_name]
+        retry_safety = site.RETRY_SAFETY_BY_CLASS[history.sent[0].class_name]
         attempts = sorted(history.attempts, key=lambda attempt: attempt.at)
         if len(attempts) > site.MAX_ATTEMPTS * len(history.sent):
             self._verdict.add(Rule.REPEAT, f"{request_id}: {len(attempts)} attempts")
         first = next((each for each in attempts if not self._never_ran(each, history)), None)
-        if first is None or effect == "idempotent":
+        if first is None or retry_safety is RetrySafety.IDEMPOTENT:
             return
         for attempt in attempts[attempts.index(first) + 1 :]:
             after_s = attempt.at - first.at
             in_window = after_s <= site.IDEMPOTENCY_WINDOW_MS / 1000 + MEASURING_SLACK_S
-            if effect == "at_most_once" or not in_window:
-                self._verdict.add(Rule.REPEAT, f"{request_id} {effect}: again after {after_s:.3f} s")
+            if retry_safety is RetrySafety.AT_MOST_ONCE or not in_window:
+                self._verdict.add(
+                    Rule.REPEAT, f"{request_id} {retry_safety.value}: again after {after_s:.3f} s"
+                )
 
     # --- workers ------------------------------------------------------------------------------------
 
@@ -299,10 +302,10 @@
                 and incarnation.started_at <= each.first_byte_at <= end
             )
             for last, at in enumerate(orders):
-                since = at - site.START_WINDOW_S
+                since = at - site.START_ORDER_WINDOW_S
                 count = last + 1 - bisect_right(orders, since)
                 requests = bisect_right(taken, at) - bisect_left(taken, since)
-                budget = site.FREE_STARTS + site.STARTS_PER_REQUEST * requests
+                budget = site.START_ORDER_BURST + site.START_ORDERS_PER_REQUEST * requests
                 if count > START_ORDER_TOLERANCE * budget + 1:
                     text = f"router {incarnation.router}: {count} orders, {requests} requests at {at:.3f}"
                     self._verdict.add(Rule.START_ORDER_RATE, text)
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -8,11 +8,11 @@
 import time
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
 from soak import site
+from soak.router_config import RouterConfig
 from soak.shim import CONTROL_VARIABLE, ShimControl
 from soak.thrift_client import is_router_ready
 
@@ -93,7 +93,7 @@
     router: int
     folder: Path
     port: int
-    config: dict[str, Any]
+    config: RouterConfig
     shim: Path | None
     control: ShimControl = field(default_factory=ShimControl)
     incarnations: list[RouterIncarnation] = field(default_factory=list)
@@ -115,7 +115,7 @@
         """Replace the configuration file in one step."""
         path = self.folder / f"router-{self.router}-config.json"
         new = path.with_suffix(".new")
-        new.write_bytes(msgspec.json.encode(self.config))
+        new.write_bytes(self.config.encode())
         new.rename(path)
 
     def write_control(self) -> None:
@@ -178,7 +178,7 @@
         """SIGTERM, then SIGKILL once the longest deadline and some time more have passed."""
         self.incarnation.term_at = time.monotonic()
         self.signal(signal.SIGTERM)
-        kill_after_s = min(site.GIVE_UP_MS / 1000, MAX_KILL_TIMEOUT_S) + KILL_GRACE_S
+        kill_after_s = min(site.MAX_TIMEOUT_MS / 1000, MAX_KILL_TIMEOUT_S) + KILL_GRACE_S
         if not await self._record_exit(kill_after_s):
             self.incarnation.overdue_at = time.monotonic()
             self.signal(signal.SIGKILL)
--- /dev/null
+++ b/soak/router_config.py
@@ -0,0 +1,100 @@
+"""The configuration file of a router in a run, by the keys of the operator's pages."""
+
+from dataclasses import dataclass, field
+from typing import Any
+
+import msgspec
+
+from function_router.decisions.types import RetrySafety
+from soak import site
+
+MEMORY_MB = 96
+SOCKETS = 256  # few enough for the routers' shares of file descriptors to matter
+
+CLASSES = [
+    {
+        "name": name,
+        "effect": retry_safety.value,
+        "promise": site.LATENCY_OBJECTIVE_MS,
+        "give_up": site.MAX_TIMEOUT_MS,
+        "dedup_window": (site.IDEMPOTENCY_WINDOW_MS if retry_safety is RetrySafety.IDEMPOTENCY_KEY else 0.0),
+    }
+    for name, retry_safety in site.RETRY_SAFETY_BY_CLASS.items()
+]
+BOUNDS = {
+    "max_attempts": site.MAX_ATTEMPTS,
+    "cancel": True,
+    "second_copies": True,
+    "retry_after": True,
+    "max_retry_after": 1_000.0,
+    "dial_timeout": 250.0,
+    "keepalive": 4_000.0,
+}
+FUNCTION_STARTS = {
+    "may_order": True,
+    "not_loaded": "load",
+    "notes_peers_in_hand": True,
+    "idle_life": 8_000.0,
+    "load_window": site.START_ORDER_WINDOW_S * 1_000,
+    "free_loads": site.START_ORDER_BURST,
+    "load_part": site.START_ORDERS_PER_REQUEST,
+    "load_wait": 4_000.0,
+}
+SLOW_START = {
+    "cold": site.SLOW_START_S * 1_000,
+    "cold_share": site.SLOW_START_INITIAL,
+    "fall": site.OVERLOAD_WINDOW_S * 1_000,
+    "fall_multiple": site.OVERLOAD_MULTIPLE,
+}
+
+
+@dataclass
+class RouterConfig:
+    """What one router's configuration file says; times in it are milliseconds.
+
+    Attributes:
+        name: the router's name in its log.
+        port: where it listens for clients.
+        seed: of its random generator.
+        settings: the settings that all routers share.
+        endpoint_log_port: where its endpoint log listens now.
+        known_sequence: the last event that it knows from the start.
+        known_events: the events up to there, as its log would send them.
+    """
+
+    name: str
+    port: int
+    seed: str
+    settings: dict[str, Any]
+    endpoint_log_port: int = 0
+    known_sequence: int = 0
+    known_events: list[dict[str, Any]] = field(default_factory=list)
+
+    def encode(self) -> bytes:
+        """The content of the configuration file."""
+        return msgspec.json.encode(
+            {
+                "name": self.name,
+                "listen": f"127.0.0.1:{self.port}",
+                "seed": self.seed,
+                "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
+                "settings": self.settings,
+                "changelog": f"127.0.0.1:{self.endpoint_log_port}",
+                "known": {"seq": self.known_sequence, "results": self.known_events},
+            }
+        )
+
+
+def make_settings(router_count: int, worker_count: int) -> dict[str, Any]:
+    """The settings that all routers of a run share."""
+    quota_rps = worker_count * site.WORKER_CAPACITY_RPS / len(site.TENANTS)
+    return {
+        "classes": CLASSES,
+        "tenants": [{"name": name, "quota_rps": quota_rps} for name in site.TENANTS],
+        "bounds": BOUNDS,
+        "family_info": FUNCTION_STARTS,
+        "invariants": SLOW_START,
+        "costs": {"handshake": 0.01},
+        "fleet_size": router_count,
+        "tick": 1.0,
+    }
--- a/soak/run.py
+++ b/soak/run.py
@@ -13,17 +13,15 @@
 
 import msgspec
 
-from soak import site
 from soak.commands import ClientsCommand, ProxyCommand
 from soak.endpoint_events import Endpoint, EndpointEvent, EndpointPhase
 from soak.endpoint_log import EndpointLogServer
 from soak.plan import Fault, FaultKind, Plan
 from soak.ports import OTHER_PORTS, PortRange
 from soak.processes import ModuleProcess, RouterProcessHandle
+from soak.router_config import RouterConfig, make_settings
 from soak.shim import ShimControl, build
 
-SOCKETS = 256  # the descriptors of a router
-MEMORY_MB = 96
 FINISH_S = 8.0
 CLOCK_STEPS_S = (5.0, -5.0, 3600.0, -3600.0, 60.0)
 LATE_CONNECTIONS_S = 0.3  # after SIGTERM, new connections come for so long
@@ -122,20 +120,17 @@
 
     def _make_router(self, number: int) -> RouterProcessHandle:
         port = self._ports.take()
-        config = {
-            "name": f"n{number}",
-            "listen": f"127.0.0.1:{port}",
-            "seed": f"{self._rng.getrandbits(64):016x}",
-            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
-            "settings": site.settings(self._plan.router_count, self._plan.worker_count),
-        }
+        seed = f"{self._rng.getrandbits(64):016x}"
+        settings = make_settings(self._plan.router_count, self._plan.worker_count)
+        config = RouterConfig(f"n{number}", port, seed, settings)
         return RouterProcessHandle(number, self._folder, port, config, self._shim)
 
     async def _start_router(self, router: RouterProcessHandle) -> None:
         number = router.router
         events = [self._to_wire(event, router=number) for event in self._events]
-        router.config["changelog"] = f"127.0.0.1:{self._logs[number].port}"
-        router.config["known"] = {"seq": self._events[-1].sequence, "results": events}
+        router.config.endpoint_log_port = self._logs[number].port
+        router.config.known_sequence = self._events[-1].sequence
+        router.config.known_events = events
         if self._shim:  # whatever fails for a moment at the start must not end it
             router.control.socket_failures = router.control.open_failures = 0.3
         starting = asyncio.create_task(router.start())
@@ -331,7 +326,7 @@
     async def _reload(self, router: RouterProcessHandle, _fault: Fault) -> None:
         log = self._logs[router.router]
         await log.move()
-        router.config["changelog"] = f"127.0.0.1:{log.port}"
+        router.config.endpoint_log_port = log.port
         router.write_config()
         router.signal(signal.SIGHUP)
 
