--- a/soak/bad_clients.py
+++ b/soak/bad_clients.py
@@ -8,10 +8,14 @@
 from function_router.net.codecs import thrift
 from soak import site
 from soak.records import BadClientSeen, Recorder
-from soak.thrift_client import encode_cancel, encode_request
+from soak.thrift_client import END_OF_STRUCT, encode_cancel, encode_request
 
-PATIENCE_S = 4.0
-GOOD_FIELDS = {
+PATIENCE_S = 4.0  # more than a bad client is owed, so that the checker sees how late the router is
+NOISE_BYTES = 300
+CANCEL_COUNT = 300
+MAX_SIZE = 2**31 - 1  # of a frame, as its header can state it
+NEGATIVE_SIZE = b"\xff\xff\xff\xf0"
+VALID_FIELDS = {
     "op": "view",
     "ttl": "1000",
     "org": site.TENANTS[0],
@@ -20,38 +24,39 @@
 }
 
 
-def _request(seqid: int = 1, **changes: str) -> bytes:
-    fields = GOOD_FIELDS | {"call": f"{random.getrandbits(64):016x}"} | changes
-    return encode_request(seqid, fields, b"")
+def _encode_request(**changes: str) -> bytes:
+    fields = VALID_FIELDS | {"call": f"{random.getrandbits(64):016x}"} | changes
+    return encode_request(1, fields, b"")
 
 
-def _messages(rng: random.Random) -> dict[str, bytes]:
+def _draw_messages(rng: random.Random) -> dict[str, bytes]:
     """What each kind of bad client sends."""
-    good = _request()
+    valid = _encode_request()
+    invalid_class = _encode_request(op="nothing")
     return {
         "silent": b"",
-        "noise": rng.randbytes(300),
+        "noise": rng.randbytes(NOISE_BYTES),
         "http": b"GET / HTTP/1.1\r\n\r\n",
-        "negative length": b"\xff\xff\xff\xf0" + good,
-        "huge length": struct.pack(">I", 2**31 - 1) + good[4:],
-        "half a request": good[: len(good) // 2],
-        "unknown class": _request(op="nothing"),
-        "unknown tenant": _request(org="nobody"),
-        "no id": _request(call="x"),
-        "time out of range": _request(ttl="99999999999"),
-        "concurrency out of range": _request(props="lanes:999999"),
-        "unknown method": thrift.encode_frame(thrift.CALL, b"nothing", 1, b"\0"),
-        "cancellations": b"".join(encode_cancel(number) for number in range(300)) + _request(op="nothing"),
+        "negative length": NEGATIVE_SIZE + valid,
+        "huge length": struct.pack(">I", MAX_SIZE) + valid[4:],
+        "half a request": valid[: len(valid) // 2],
+        "unknown class": invalid_class,
+        "unknown tenant": _encode_request(org="nobody"),
+        "no id": _encode_request(call="x"),
+        "time out of range": _encode_request(ttl="99999999999"),
+        "concurrency out of range": _encode_request(props="lanes:999999"),
+        "unknown method": thrift.encode_frame(thrift.CALL, b"nothing", 1, END_OF_STRUCT),
+        "cancellations": b"".join(encode_cancel(number) for number in range(CANCEL_COUNT)) + invalid_class,
     }
 
 
 async def run_bad_client(router: int, port: int, recorder: Recorder, rng: random.Random) -> None:
-    """Connect, send, and record whether anything came back in time."""
-    kind, message = rng.choice(list(_messages(rng).items()))
+    """Connect, send, and record whether the router has answered or closed in time."""
+    kind, message = rng.choice(list(_draw_messages(rng).items()))
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
-        return
+        return  # the router is down
     connected_at = time.monotonic()
     is_settled = True
     try:
@@ -60,7 +65,7 @@
     except TimeoutError:
         is_settled = False
     except OSError:
-        pass
+        pass  # a reset settles it as a close does
     now = time.monotonic()
     recorder.add(BadClientSeen(router, kind, now, now - connected_at, is_settled))
     writer.close()
--- /dev/null
+++ b/soak/client_connections.py
@@ -0,0 +1,57 @@
+"""The clients' connections to all routers: which ones are used again, left idle, or abandoned."""
+
+import random
+import time
+
+from soak.thrift_client import ThriftConnection
+
+MAX_PENDING_REQUESTS = 32  # of a connection that gets another request
+MAX_IDLE_S = 4.0  # a client closes its connection once it was idle for so long
+KEPT_SHARE = 0.5  # of new connections: used again later; the others stay open and are never used again
+
+
+class ClientConnections:
+    """Opens and reuses connections; it owns all but the private ones, which their user closes."""
+
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
+        self._reusable: dict[int, list[ThriftConnection]] = {}  # by port
+        self._abandoned: list[ThriftConnection] = []
+
+    async def acquire(self, port: int, *, is_new: bool, is_private: bool) -> ThriftConnection:
+        """A connection for one request.
+
+        Args:
+            port: of the router.
+            is_new: open one, also where another could be used again.
+            is_private: open one that no other request shares.
+
+        Raises:
+            OSError: The router does not accept a connection.
+        """
+        self._close_idle(port)
+        reusable = self._reusable.setdefault(port, [])
+        usable = [each for each in reusable if len(each.pending) < MAX_PENDING_REQUESTS]
+        if usable and not (is_new or is_private):
+            return self._rng.choice(usable)
+        connection = await ThriftConnection.open(port)
+        if not is_private:
+            is_kept = not is_new or self._rng.random() < KEPT_SHARE
+            (reusable if is_kept else self._abandoned).append(connection)
+        return connection
+
+    def close(self) -> None:
+        """Close all connections."""
+        for connection in self._abandoned:
+            connection.close()
+        for reusable in self._reusable.values():
+            for connection in reusable:
+                connection.close()
+
+    def _close_idle(self, port: int) -> None:
+        now = time.monotonic()
+        for connection in list(self._reusable.get(port, ())):
+            is_idle = not connection.pending and now - connection.last_used > MAX_IDLE_S
+            if connection.end_cause is not None or is_idle:
+                self._reusable[port].remove(connection)
+                connection.close()
--- /dev/null
+++ b/soak/request_client.py
@@ -0,0 +1,194 @@
+"""One request of a client: what it asks for, and what the client does until it is over."""
+
+import asyncio
+import random
+import time
+from enum import Enum, auto
+
+from msgspec import Struct
+
+from function_router.decisions.types import RetrySafety
+from soak import site
+from soak.client_connections import ClientConnections
+from soak.records import AnswerKind, ClientGone, ConnectionLost, Recorder, RequestAnswered, RequestSent
+from soak.thrift_client import (
+    ClientAnswer,
+    ConnectionEndedError,
+    ThriftConnection,
+    encode_cancel,
+    encode_request,
+)
+from soak.worker import served_body
+
+NEW_CONNECTION_SHARE = 0.1  # of requests, where they could share a connection
+CANCEL_SHARE = 0.05
+CLOSE_SHARE = 0.03
+MIN_TIMEOUT_SHARE = 0.5  # of the site's longest timeout
+MAX_LEAVE_SHARE = 0.5  # of the timeout, after which a client that leaves has left
+CROSSING_S = 0.05  # a request that crosses the close of its connection so closely is sent again once
+PATIENCE_S = 1.0  # after its timeout, until a request without an answer is given up
+MAX_BODY_BYTES = 2_000
+
+
+class Departure(Enum):
+    """How a client leaves its request before the answer."""
+
+    NONE = auto()  # it waits for the answer
+    CANCEL = auto()  # it cancels the request
+    CLOSE = auto()  # it closes the connection
+
+
+class ClientRequest(Struct, frozen=True):
+    """A request, by the keys of the wire that are drawn for it."""
+
+    request_id: str
+    class_name: str
+    timeout_ms: int
+    tenant: str
+    function: str
+
+    @property
+    def timeout_s(self) -> float:
+        """The timeout in seconds."""
+        return self.timeout_ms / 1000
+
+    @property
+    def fields(self) -> dict[str, str]:
+        """The fields of its message."""
+        fields = {
+            "op": self.class_name,
+            "call": self.request_id,
+            "ttl": str(self.timeout_ms),
+            "org": self.tenant,
+            "row": self.function,
+            "props": f"memory_mb:128;lanes:{site.WORKER_CONCURRENCY}",
+        }
+        if site.RETRY_SAFETY_BY_CLASS[self.class_name] is RetrySafety.IDEMPOTENCY_KEY:
+            fields["dedupe"] = self.request_id * 2
+        return fields
+
+
+def draw_request(rng: random.Random, functions: list[str], weights: list[float]) -> ClientRequest:
+    """Draw a request; functions are drawn by their weights."""
+    class_name = rng.choices(list(site.CLASS_SHARES), list(site.CLASS_SHARES.values()))[0]
+    timeout_ms = int(site.MAX_TIMEOUT_MS * rng.uniform(MIN_TIMEOUT_SHARE, 1.0))
+    return ClientRequest(
+        request_id=f"{rng.getrandbits(64):016x}",
+        class_name=class_name,
+        timeout_ms=timeout_ms,
+        tenant=rng.choice(site.TENANTS),
+        function=rng.choices(functions, weights)[0],
+    )
+
+
+class RequestClient:
+    """Sends requests, and records what becomes of each."""
+
+    def __init__(self, connections: ClientConnections, recorder: Recorder, rng: random.Random) -> None:
+        self._connections = connections
+        self._recorder = recorder
+        self._rng = rng
+
+    async def send(self, request: ClientRequest, router: int, port: int, *, is_retry: bool = False) -> bool:
+        """Send a request and wait until it is over.
+
+        Returns:
+            Whether the client is to send it again, as its connection closed just as it was sent.
+        """
+        is_new = is_retry or self._rng.random() < NEW_CONNECTION_SHARE
+        departure = self._draw_departure()
+        closes = departure is Departure.CLOSE
+        try:
+            connection = await self._connections.acquire(port, is_new=is_new, is_private=closes)
+        except OSError:
+            return False  # never sent
+        try:
+            return await self._exchange(connection, request, router, departure, is_retry=is_retry)
+        finally:
+            if closes:
+                connection.close()
+
+    def _draw_departure(self) -> Departure:
+        if self._rng.random() < CLOSE_SHARE:
+            return Departure.CLOSE
+        return Departure.CANCEL if self._rng.random() < CANCEL_SHARE else Departure.NONE
+
+    async def _exchange(
+        self,
+        connection: ThriftConnection,
+        request: ClientRequest,
+        router: int,
+        departure: Departure,
+        *,
+        is_retry: bool,
+    ) -> bool:
+        """Send a request on a connection; whether it crossed the close of it and may be sent again."""
+        seqid = connection.take_seqid()
+        answer = connection.expect_answer(seqid)
+        was_alone = len(connection.pending) == 1
+        body = self._rng.randbytes(self._rng.randrange(MAX_BODY_BYTES))
+        connection.send(encode_request(seqid, request.fields, body))
+        sent_at = time.monotonic()
+        self._recorder.add(
+            RequestSent(request.request_id, router, request.class_name, sent_at, request.timeout_s)
+        )
+        try:
+            await self._await_end(connection, seqid, answer, request, departure)
+        except ConnectionEndedError as error:
+            is_crossing = was_alone and not is_retry and error.at - sent_at <= CROSSING_S
+            self._recorder.add(ConnectionLost(request.request_id, error.at, error.cause, is_crossing))
+            return is_crossing
+        finally:
+            connection.pending.pop(seqid, None)
+        self._record_surplus(connection, request)
+        return False
+
+    def _record_surplus(self, connection: ThriftConnection, request: ClientRequest) -> None:
+        """Count surplus answers of the connection against its latest request: they name none."""
+        if connection.surplus_answers:
+            surplus = RequestAnswered(request.request_id, time.monotonic(), AnswerKind.SURPLUS)
+            self._recorder.add(surplus)
+            connection.surplus_answers = 0
+
+    async def _await_end(
+        self,
+        connection: ThriftConnection,
+        seqid: int,
+        answer: asyncio.Future[ClientAnswer],
+        request: ClientRequest,
+        departure: Departure,
+    ) -> None:
+        """Wait for the answer, or leave after a part of the timeout where that is the departure."""
+        if departure is not Departure.NONE:
+            leave_after_s = request.timeout_s * self._rng.uniform(0.0, MAX_LEAVE_SHARE) ** 2
+            done, _ = await asyncio.wait([answer], timeout=leave_after_s)
+            if not done:
+                await self._leave(connection, seqid, answer, request, departure)
+                return
+        await self._await_answer(answer, request)
+
+    async def _await_answer(self, answer: asyncio.Future[ClientAnswer], request: ClientRequest) -> None:
+        try:
+            found = await asyncio.wait_for(answer, request.timeout_s + PATIENCE_S)
+        except TimeoutError:
+            return
+        expected_body = served_body(bytes.fromhex(request.request_id))
+        is_genuine = found.kind is not AnswerKind.SERVED or found.body == expected_body
+        self._recorder.add(RequestAnswered(request.request_id, found.at, found.kind, is_genuine))
+
+    async def _leave(
+        self,
+        connection: ThriftConnection,
+        seqid: int,
+        answer: asyncio.Future[ClientAnswer],
+        request: ClientRequest,
+        departure: Departure,
+    ) -> None:
+        if departure is Departure.CLOSE:
+            connection.pending.pop(seqid, None)
+            connection.close()
+            self._recorder.add(ClientGone(request.request_id, time.monotonic()))
+            return
+        connection.send(encode_cancel(seqid))
+        self._recorder.add(ClientGone(request.request_id, time.monotonic()))
+        await asyncio.wait([answer], timeout=PATIENCE_S)  # an answer that crossed it is no surplus
