--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -13,15 +13,30 @@
 
 from soak.judge import Judge, Verdict
 from soak.plan import FaultKind, Plan, draw_plan
-from soak.run import Run
+from soak.run import run_plan
+from soak.run_folder import RunFolder
 
+SeedOption = Annotated[int, typer.Option(help="The first seed.")]
+SeedsOption = Annotated[int, typer.Option(help="How many seeds to run, one after the other.")]
+SecondsOption = Annotated[float, typer.Option(help="Length of the traffic of a run.")]
+RoutersOption = Annotated[int, typer.Option(help="Router processes.")]
+WorkersOption = Annotated[int, typer.Option(help="Worker processes.")]
+RateOption = Annotated[float, typer.Option(help="Requests a second, of all clients together.")]
+FaultOption = Annotated[
+    list[FaultKind] | None, typer.Option(help="Only faults of these kinds; without it, of all.")
+]
+NoFaultsOption = Annotated[bool, typer.Option("--no-faults", help="Inject no faults.")]
+NoShimOption = Annotated[bool, typer.Option("--no-shim", help="Leave system calls and clocks alone.")]
+KeepOption = Annotated[Path | None, typer.Option(help="Keep records and logs in this folder.")]
 
-def _play(plan: Plan, folder: Path, *, uses_shim: bool) -> Verdict:
-    if folder.exists():
-        shutil.rmtree(folder)
-    folder.mkdir(parents=True)
-    (folder / "plan.json").write_bytes(msgspec.json.format(msgspec.json.encode(plan)))
-    record = asyncio.run(Run(plan, folder, uses_shim=uses_shim).play())
+
+def _run(plan: Plan, folder: RunFolder, *, uses_shim: bool) -> Verdict:
+    """Run a plan in a fresh folder, and check it."""
+    if folder.path.exists():
+        shutil.rmtree(folder.path)
+    folder.path.mkdir(parents=True)
+    folder.plan.write_bytes(msgspec.json.format(msgspec.json.encode(plan)))
+    record = asyncio.run(run_plan(plan, folder, uses_shim=uses_shim))
     return Judge(record).judge()
 
 
@@ -37,41 +52,41 @@
     sys.stdout.flush()
 
 
+def _run_and_report(plan: Plan, folder: RunFolder, *, uses_shim: bool) -> bool:
+    """Run a plan and print its verdict; whether it kept all rules."""
+    started = time.monotonic()
+    verdict = _run(plan, folder, uses_shim=uses_shim)
+    _report(plan, verdict, time.monotonic() - started)
+    return not verdict.violations
+
+
 def main(
-    seed: Annotated[int, typer.Option(help="The first seed.")] = 1,
-    seeds: Annotated[int, typer.Option(help="How many seeds to play, one after the other.")] = 1,
-    seconds: Annotated[float, typer.Option(help="Length of the traffic of a run.")] = 20.0,
-    routers: Annotated[int, typer.Option(help="Router processes.")] = 16,
-    workers: Annotated[int, typer.Option(help="Worker processes.")] = 12,
-    rate: Annotated[float, typer.Option(help="Requests a second, of all clients together.")] = 250.0,
-    fault: Annotated[
-        list[FaultKind] | None, typer.Option(help="Only these kinds; without it, all of them.")
-    ] = None,
-    no_faults: Annotated[bool, typer.Option("--no-faults", help="A calm run.")] = False,
-    no_shim: Annotated[bool, typer.Option("--no-shim", help="Leave system calls and clocks alone.")] = False,
-    keep: Annotated[Path | None, typer.Option(help="Keep records and logs in this folder.")] = None,
+    seed: SeedOption = 1,
+    seeds: SeedsOption = 1,
+    seconds: SecondsOption = 20.0,
+    routers: RoutersOption = 16,
+    workers: WorkersOption = 12,
+    rate: RateOption = 250.0,
+    fault: FaultOption = None,
+    no_faults: NoFaultsOption = False,
+    no_shim: NoShimOption = False,
+    keep: KeepOption = None,
 ) -> None:
-    """Play runs of real processes on loopback, judge each, and exit with 1 if any broke a rule."""
+    """Run real processes on loopback under faults, check each run, and exit with 1 if any broke a rule."""
     kinds = [] if no_faults else (fault or list(FaultKind))
+    plans = [
+        draw_plan(number, routers, workers, duration_s=seconds, requests_per_s=rate, kinds=kinds)
+        for number in range(seed, seed + seeds)
+    ]
     folder = keep or Path(tempfile.mkdtemp(prefix="soak-"))
-    broken = 0
-    for number in range(seed, seed + seeds):
-        plan = draw_plan(
-            number,
-            routers,
-            workers,
-            duration_s=seconds,
-            requests_per_s=rate,
-            kinds=kinds,
-        )
-        started = time.monotonic()
-        verdict = _play(plan, folder / f"seed-{number}", uses_shim=not no_shim)
-        _report(plan, verdict, time.monotonic() - started)
-        broken += bool(verdict.violations)
+    kept = sum(
+        _run_and_report(plan, RunFolder(folder / f"seed-{plan.seed}"), uses_shim=not no_shim)
+        for plan in plans
+    )
     if not keep:
         shutil.rmtree(folder)
-    typer.echo(f"{seeds - broken} of {seeds} runs kept all rules")
-    raise typer.Exit(code=bool(broken))
+    typer.echo(f"{kept} of {seeds} runs kept all rules")
+    raise typer.Exit(code=int(kept < seeds))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/soak/cluster.py
@@ -0,0 +1,149 @@
+"""The processes of one run: proxy, workers, endpoint logs, routers and clients."""
+
+import asyncio
+import contextlib
+import random
+from pathlib import Path
+from types import TracebackType
+
+import msgspec
+
+from soak.endpoint_events import EndpointPhase
+from soak.endpoint_feed import EndpointFeed
+from soak.module_process import ModuleProcess
+from soak.plan import Plan
+from soak.ports import OTHER_PORTS, PortRange
+from soak.router_config import RouterConfig, make_settings
+from soak.router_slot import RouterSlot
+from soak.run_folder import RunFolder
+from soak.run_record import RouterIncarnation, WorkerIncarnation
+from soak.traffic import Traffic
+from soak.worker_slot import WorkerSlot
+
+FINISH_S = 8.0  # for the clients, and then for the proxy, to end by themselves
+SETTLE_S = 0.2  # for pipes and tasks to end
+START_FAILURE_SHARE = 0.3  # of the calls of socket and open that fail while a router starts
+START_FAILURE_S = 1.0
+
+
+class Cluster:
+    """Starts all processes as it is entered, and ends them on exit: `async with Cluster(...) as cluster`.
+
+    Attributes:
+        plan: the plan of the run, with the sizes of the cluster.
+        rng: the random generator of the run, for seeds and delays that the plan doesn't draw.
+        routers: by number.
+        workers: the worker slots, by number.
+        endpoints: the endpoint events, and the log of each router.
+        traffic: control of the clients.
+    """
+
+    endpoints: EndpointFeed
+    traffic: Traffic
+
+    def __init__(self, plan: Plan, folder: RunFolder, shim: Path | None) -> None:
+        self.plan = plan
+        self.rng = random.Random(plan.seed + 1)
+        self.routers: list[RouterSlot] = []
+        self.workers: list[WorkerSlot] = []
+        self._folder = folder
+        self._shim = shim
+        self._ports = PortRange(OTHER_PORTS)
+        self._proxy: ModuleProcess
+        self._clients: ModuleProcess
+        self._resources = contextlib.AsyncExitStack()
+
+    async def __aenter__(self) -> "Cluster":
+        self._resources.callback(self._ports.close)
+        self._resources.push_async_callback(asyncio.sleep, SETTLE_S)
+        try:
+            proxy_ports = await self._start_proxy()
+            await self._start_workers()
+            await self._start_endpoint_logs(proxy_ports)
+            await self._start_routers()
+            await self._start_clients()
+        except BaseException:
+            await self._resources.aclose()
+            raise
+        return self
+
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, traceback: TracebackType | None
+    ) -> None:
+        await self._resources.aclose()
+
+    @property
+    def router_incarnations(self) -> list[RouterIncarnation]:
+        """Those of all routers, in the order of routers and of the starts of each."""
+        return [incarnation for router in self.routers for incarnation in router.incarnations]
+
+    @property
+    def worker_incarnations(self) -> list[WorkerIncarnation]:
+        """Those of all worker slots, in the order of their starts."""
+        incarnations = [incarnation for slot in self.workers for incarnation in slot.incarnations]
+        return sorted(incarnations, key=lambda incarnation: incarnation.started_at)
+
+    async def start_router(self, router: RouterSlot) -> None:
+        """Start an incarnation of a router with the endpoint list of this moment.
+
+        With a shim, some of its system calls fail in its first second: failures that pass must not end it.
+        """
+        router.config.endpoint_log_port = self.endpoints.servers[router.number].port
+        router.config.known_sequence = self.endpoints.last_sequence
+        router.config.known_events = self.endpoints.events_for(router.number)
+        if self._shim:
+            router.shim_control.socket_failures = START_FAILURE_SHARE
+            router.shim_control.open_failures = START_FAILURE_SHARE
+        starting = asyncio.create_task(router.start())
+        await asyncio.sleep(START_FAILURE_S)
+        router.shim_control.socket_failures = 0.0
+        router.shim_control.open_failures = 0.0
+        router.write_shim_control()
+        await starting
+
+    async def drain(self) -> None:
+        """End the traffic, then the routers as a deployment would, and complete all records."""
+        await self.traffic.stop()
+        await self._clients.finish(FINISH_S)
+        for router in self.routers:
+            router.record_unplanned_exit()
+        running = [router for router in self.routers if router.incarnation.exited_at is None]
+        await asyncio.gather(*(router.terminate() for router in running))
+        await self._proxy.finish(FINISH_S)
+
+    async def _start_proxy(self) -> list[list[int]]:
+        """Start the proxy; its ports by router and worker slot."""
+        counts = (str(self.plan.router_count), str(self.plan.worker_count))
+        self._proxy = await ModuleProcess.start("soak.proxy", *counts, str(self._folder.proxy_records))
+        self._resources.push_async_callback(self._proxy.clean_up)
+        return msgspec.json.decode(await self._proxy.read_line(), type=list[list[int]])
+
+    async def _start_workers(self) -> None:
+        for number in range(self.plan.worker_count):
+            slot = WorkerSlot(number, self._proxy)
+            self.workers.append(slot)
+            self._resources.push_async_callback(slot.clean_up)
+            await slot.start(f"s-{number}", is_in_slow_start=False)
+
+    async def _start_endpoint_logs(self, proxy_ports: list[list[int]]) -> None:
+        self.endpoints = EndpointFeed(proxy_ports, self._ports)
+        self._resources.push_async_callback(self.endpoints.close)
+        await self.endpoints.start([slot.endpoint(EndpointPhase.READY) for slot in self.workers])
+
+    async def _start_routers(self) -> None:
+        settings = make_settings(self.plan.router_count, self.plan.worker_count)
+        for number in range(self.plan.router_count):
+            port = self._ports.take()
+            config = RouterConfig(f"n{number}", port, f"{self.rng.getrandbits(64):016x}", settings)
+            router = RouterSlot(number, self._folder, config, self._shim)
+            self.routers.append(router)
+            self._resources.push_async_callback(router.clean_up)
+        await asyncio.gather(*(self.start_router(router) for router in self.routers))
+
+    async def _start_clients(self) -> None:
+        counts = (str(self.plan.function_count), str(self.plan.seed))
+        self._clients = await ModuleProcess.start("soak.clients", *counts, str(self._folder.client_records))
+        self._resources.push_async_callback(self._clients.clean_up)
+        self.traffic = Traffic(self._clients, self.plan.router_count)
+        ports = [router.config.port if router.incarnation.ready_at else 0 for router in self.routers]
+        await self.traffic.start(ports, self.plan.requests_per_s)
--- /dev/null
+++ b/soak/endpoint_feed.py
@@ -0,0 +1,62 @@
+"""The endpoint events of a run, served to each router by an endpoint log of its own."""
+
+import time
+from collections.abc import Sequence
+from functools import partial
+from typing import Any
+
+from soak.endpoint_events import Endpoint, EndpointEvent
+from soak.endpoint_log import EndpointLogServer
+from soak.ports import PortRange
+
+
+class EndpointFeed:
+    """All events so far, and the log servers, which faults disturb one by one.
+
+    Attributes:
+        servers: the endpoint log of each router.
+    """
+
+    def __init__(self, proxy_ports: Sequence[Sequence[int]], ports: PortRange) -> None:
+        """Serve events to routers that reach worker slots at `proxy_ports`, by router and slot."""
+        self._proxy_ports = proxy_ports
+        self._events: list[EndpointEvent] = []
+        self.servers = [
+            EndpointLogServer(self._events, partial(self._to_wire, router=router), ports)
+            for router in range(len(proxy_ports))
+        ]
+
+    @property
+    def last_sequence(self) -> int:
+        """The sequence number of the last event."""
+        return self._events[-1].sequence
+
+    async def start(self, endpoints: Sequence[Endpoint]) -> None:
+        """Listen, with the complete list of endpoints as the first event."""
+        self._add(endpoints, is_complete=True)
+        for server in self.servers:
+            await server.start()
+
+    async def publish(self, endpoint: Endpoint) -> dict[int, float]:
+        """Publish a change of one endpoint; by router, from when on it counts as notified."""
+        self._add([endpoint], is_complete=False)
+        now = time.monotonic()
+        for server in self.servers:
+            await server.publish()
+        return {router: max(now, server.impaired_until) for router, server in enumerate(self.servers)}
+
+    def events_for(self, router: int) -> list[dict[str, Any]]:
+        """All events so far, as the log of this router sends them."""
+        return [self._to_wire(event, router=router) for event in self._events]
+
+    async def close(self) -> None:
+        """Listen no more, and end all connections."""
+        for server in self.servers:
+            await server.close()
+
+    def _add(self, endpoints: Sequence[Endpoint], *, is_complete: bool) -> None:
+        sequence = len(self._events) + 1
+        self._events.append(EndpointEvent(sequence, tuple(endpoints), is_complete=is_complete))
+
+    def _to_wire(self, event: EndpointEvent, *, router: int) -> dict[str, Any]:
+        return event.to_wire(self._proxy_ports[router])
--- a/soak/endpoint_log.py
+++ b/soak/endpoint_log.py
@@ -1,4 +1,8 @@
-"""The endpoint log of one router: numbered events over TCP, with the faults that such a log may have."""
+"""The endpoint log of one router: numbered events over TCP, with the faults that such a log may have.
+
+A router connects and sends the number of the last event that it knows. It gets the events after that, each as
+a line of JSON, and a line with the last event's number after them and at every heartbeat.
+"""
 
 import asyncio
 import time
@@ -12,15 +16,18 @@
 
 HEARTBEAT_S = 1.0
 OLD_ADDRESS_S = 1.5  # after a move, open connections to the old address stay for so long
-READY_MARGIN_S = 4.0  # what an impaired log would have published counts as notified after this
+RECOVERY_MARGIN_S = 4.0  # after a fault of the log, a router counts as up to date with it
+
+# What the first line of a router is split into: a word, and the number of the last event that it knows.
+KNOWN_SEQUENCE_WORD = 1
 
 
 class EndpointLogServer:
-    """Serves the events of a list that all routers share.
+    """Serves the events of a list that all routers share; the feed owns it and closes it.
 
     Attributes:
         port: where it listens now.
-        impaired_until: until when (monotonic seconds) an event may come late without the router's fault.
+        impaired_until: until when, in monotonic seconds, an event may reach the router late.
     """
 
     def __init__(
@@ -37,11 +44,11 @@
         self._ports = ports
         self._is_silent = False
         self._server: asyncio.Server | None = None
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._connections: set[asyncio.Task[None]] = set()
         self._published = asyncio.Condition()
 
     async def start(self) -> None:
-        """Listen at a new address."""
+        """Listen: at the same address as before, or at a new one after a move."""
         self.port = self.port or self._ports.take()
         self._server = await listen(self._serve, self.port)
 
@@ -53,69 +60,70 @@
     async def move(self) -> None:
         """Go on at another address; the old one sends nothing more and closes its connections later."""
         self._mark_impaired(0.0)
-        old_server, old_tasks = self._server, list(self._tasks)
+        old_server = self._server
+        old_connections = list(self._connections)
         self.port = 0
         await self.start()
         if old_server:
             old_server.close()
-        for task in old_tasks:
-            asyncio.get_running_loop().call_later(OLD_ADDRESS_S, task.cancel)
+        for connection in old_connections:
+            asyncio.get_running_loop().call_later(OLD_ADDRESS_S, connection.cancel)
 
-    async def be_silent(self, seconds: float) -> None:
-        """Stay connected and send nothing."""
+    async def stay_silent(self, seconds: float) -> None:
+        """Stay connected and send nothing for a while."""
         self._mark_impaired(seconds)
         self._is_silent = True
         await asyncio.sleep(seconds)
         self._is_silent = False
         await self.publish()
 
-    async def be_broken(self, seconds: float) -> None:
+    async def refuse_connections(self, seconds: float) -> None:
         """End all connections, and refuse new ones for a while."""
         self._mark_impaired(seconds)
-        if self._server:
-            self._server.close()
-        for task in list(self._tasks):
-            task.cancel()
+        self._end_connections()
         await asyncio.sleep(seconds)
         await self.start()
 
     async def close(self) -> None:
         """Listen no more, and end all connections."""
+        self._end_connections()
+        await asyncio.sleep(0)
+
+    def _end_connections(self) -> None:
         if self._server:
             self._server.close()
-        for task in list(self._tasks):
-            task.cancel()
-        await asyncio.sleep(0)
+        for connection in list(self._connections):
+            connection.cancel()
 
     def _mark_impaired(self, seconds: float) -> None:
-        until = time.monotonic() + seconds + READY_MARGIN_S
+        until = time.monotonic() + seconds + RECOVERY_MARGIN_S
         self.impaired_until = max(self.impaired_until, until)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        task = asyncio.current_task()
-        if task:
-            self._tasks.add(task)
+        connection = asyncio.current_task()
+        if connection:
+            self._connections.add(connection)
         server = self._server
         try:
             request = await reader.readline()
-            await self._send_events(writer, int(request.split()[1]), server)
+            await self._send_events(writer, int(request.split()[KNOWN_SEQUENCE_WORD]), server)
         except (OSError, IndexError, ValueError, asyncio.CancelledError):
             pass
         finally:
             writer.close()
-            if task:
-                self._tasks.discard(task)
+            if connection:
+                self._connections.discard(connection)
 
     async def _send_events(
-        self, writer: asyncio.StreamWriter, last_sent: int, server: asyncio.Server | None
+        self, writer: asyncio.StreamWriter, known_sequence: int, server: asyncio.Server | None
     ) -> None:
+        """Send events as they are published, while `server` is the one that listens."""
         while True:
-            is_current = server is self._server and not self._is_silent
-            if is_current:
+            if server is self._server and not self._is_silent:
                 for event in self._events:
-                    if event.sequence > last_sent:
+                    if event.sequence > known_sequence:
                         writer.write(msgspec.json.encode(self._to_wire(event)) + b"\n")
-                        last_sent = event.sequence
+                        known_sequence = event.sequence
                 writer.write(b"%d\n" % self._events[-1].sequence)
                 await writer.drain()
             async with self._published:
--- /dev/null
+++ b/soak/faults.py
@@ -0,0 +1,245 @@
+"""The faults: one function each, and the registry that says what they hit and which exclude each other.
+
+A function injects its fault, lets it last for as long as the plan says, and returns once the target is as it
+was before, or is replaced.
+"""
+
+import asyncio
+import time
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+from typing import Final
+
+from soak.cluster import Cluster
+from soak.endpoint_events import EndpointPhase
+from soak.plan import Fault, FaultKind
+from soak.router_slot import RouterSlot
+from soak.worker_slot import WorkerSlot
+
+BURST_FACTOR = 2.5  # of the plan's rate of requests
+BAD_CLIENTS_PER_S = 20.0
+ROUTER_DOWN_S = 0.3  # between the end of a router and its next start
+LATE_CONNECTIONS_S = 0.3  # after SIGTERM, new connections come for so long
+CLIENTS_NOTICE_S = 0.8  # until clients keep away from a router that was killed
+MIN_PAUSE_S = 0.1
+MAX_EXTRA_PAUSE_S = 0.15  # on top of it, at full intensity
+BETWEEN_PAUSES_S = 0.4
+CLOCK_STEPS_S = (5.0, -5.0, 3600.0, -3600.0, 60.0)
+DRAIN_S = 1.5  # between a worker's drain and its end
+RESET_COUNT = 3
+BETWEEN_RESETS_S = 0.3
+MIN_CORRUPTED_SHARE = 0.05
+MAX_EXTRA_CORRUPTED_SHARE = 0.1  # on top of it, at full intensity
+
+CALL_FAILURES: Final = {
+    "accept_failures": 0.3,
+    "socket_failures": 0.4,
+    "connect_failures": 0.4,
+    "interrupted_calls": 0.2,
+    "short_transfers": 0.4,
+    "buffer_failures": 0.05,
+    "broken_connections": 0.01,
+    "register_failures": 0.1,
+    "open_failures": 0.5,
+}
+"""The shares of calls that fail at full intensity; fields of `ShimControl`."""
+
+# --- faults of routers
+
+
+async def roll_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
+    """Send SIGTERM while clients still connect for a moment, then start the router from nothing."""
+    ending = asyncio.create_task(router.terminate())
+    await asyncio.sleep(LATE_CONNECTIONS_S)
+    await cluster.traffic.avoid_router(router.number)
+    await ending
+    await _restart_router(cluster, router)
+
+
+async def kill_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
+    """Send SIGKILL, which clients notice later, then start the router again."""
+    killing = asyncio.create_task(router.crash())
+    await asyncio.sleep(CLIENTS_NOTICE_S)
+    await cluster.traffic.avoid_router(router.number)
+    await killing
+    await _restart_router(cluster, router)
+
+
+async def _restart_router(cluster: Cluster, router: RouterSlot) -> None:
+    await asyncio.sleep(ROUTER_DOWN_S)
+    await cluster.start_router(router)
+    if router.incarnation.ready_at:
+        await cluster.traffic.use_router(router.number, router.config.port)
+
+
+async def pause_router(_cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
+    """Stop the process again and again for a moment, as a busy machine does."""
+    end = time.monotonic() + fault.duration_s
+    while time.monotonic() < end:
+        router.pause()
+        await asyncio.sleep(MIN_PAUSE_S + MAX_EXTRA_PAUSE_S * fault.intensity)
+        router.resume()
+        await asyncio.sleep(BETWEEN_PAUSES_S)
+
+
+async def reload_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
+    """Move the endpoint log to another address, and have the router reload its configuration."""
+    server = cluster.endpoints.servers[router.number]
+    await server.move()
+    router.config.endpoint_log_port = server.port
+    router.reload()
+
+
+async def stall_log_reader(_cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
+    """Leave the router's own log unread, so that its pipe fills up."""
+    router.is_log_read = False
+    await asyncio.sleep(fault.duration_s)
+    router.is_log_read = True
+
+
+async def break_endpoint_log(cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
+    """End the connections of the endpoint log, and refuse new ones."""
+    await cluster.endpoints.servers[router.number].refuse_connections(fault.duration_s)
+
+
+async def silence_endpoint_log(cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
+    """Have the endpoint log send nothing on connections that stay open."""
+    await cluster.endpoints.servers[router.number].stay_silent(fault.duration_s)
+
+
+async def step_clock(_cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
+    """Step the router's wall clock, for good; its monotonic clock runs on."""
+    control = router.shim_control
+    control.offset_before_s = control.offset_after_s
+    control.step_at_unix_s = time.time()
+    control.offset_after_s += CLOCK_STEPS_S[int(fault.intensity * len(CLOCK_STEPS_S))]
+    router.write_shim_control()
+
+
+async def fail_calls(_cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
+    """Let system calls of the router fail in ways that Linux documents."""
+    for name, share in CALL_FAILURES.items():
+        setattr(router.shim_control, name, share * fault.intensity)
+    router.write_shim_control()
+    await asyncio.sleep(fault.duration_s)
+    for name in CALL_FAILURES:
+        setattr(router.shim_control, name, 0.0)
+    router.write_shim_control()
+
+
+# --- faults of workers
+
+
+async def restart_worker(cluster: Cluster, slot: WorkerSlot, _fault: Fault) -> None:
+    """Kill a worker and start it again under its name; the endpoint log says so a moment later."""
+    name = slot.incarnation.name
+    await slot.crash()
+    await asyncio.sleep(cluster.rng.uniform(0.1, 0.8))
+    await slot.start(name, is_in_slow_start=True)
+    incarnation = slot.incarnation
+    await asyncio.sleep(cluster.rng.uniform(0.0, 0.5))
+    incarnation.ready_notified_at = await cluster.endpoints.publish(slot.endpoint(EndpointPhase.READY))
+
+
+async def replace_worker(cluster: Cluster, slot: WorkerSlot, _fault: Fault) -> None:
+    """Drain a worker, then put another one, under another name, at its address."""
+    old = slot.incarnation
+    old.drain_notified_at = await cluster.endpoints.publish(slot.endpoint(EndpointPhase.DRAINING))
+    await asyncio.sleep(DRAIN_S)
+    await slot.crash()
+    await cluster.endpoints.publish(slot.endpoint(EndpointPhase.REMOVED))
+    await slot.start(f"{old.name}x", is_in_slow_start=True)
+    new = slot.incarnation
+    new.ready_notified_at = await cluster.endpoints.publish(slot.endpoint(EndpointPhase.READY))
+
+
+async def hang_worker(_cluster: Cluster, slot: WorkerSlot, fault: Fault) -> None:
+    """Stop the worker's process; its connections stay open."""
+    slot.process.pause()
+    await asyncio.sleep(fault.duration_s)
+    slot.process.resume()
+
+
+async def reset_connections(_cluster: Cluster, slot: WorkerSlot, _fault: Fault) -> None:
+    """Reset all connections to the worker, a few times."""
+    for _ in range(RESET_COUNT):
+        await slot.forward(reset_connections=True)
+        await asyncio.sleep(BETWEEN_RESETS_S)
+
+
+async def corrupt_answers(_cluster: Cluster, slot: WorkerSlot, fault: Fault) -> None:
+    """Change, double or cut some of what the worker sends."""
+    share = MIN_CORRUPTED_SHARE + MAX_EXTRA_CORRUPTED_SHARE * fault.intensity
+    await slot.forward(corrupted_share=share)
+    await asyncio.sleep(fault.duration_s)
+    await slot.forward()
+
+
+async def refuse_connections(_cluster: Cluster, slot: WorkerSlot, fault: Fault) -> None:
+    """Reset all connections to the worker, and refuse new ones."""
+    await slot.refuse_connections()
+    await asyncio.sleep(fault.duration_s)
+    await slot.forward()
+
+
+# --- faults of clients
+
+
+async def burst(cluster: Cluster, fault: Fault) -> None:
+    """Send far more requests."""
+    await cluster.traffic.set_request_rate(cluster.plan.requests_per_s * BURST_FACTOR)
+    await asyncio.sleep(fault.duration_s)
+    await cluster.traffic.set_request_rate(cluster.plan.requests_per_s)
+
+
+async def add_bad_clients(cluster: Cluster, fault: Fault) -> None:
+    """Connect clients that break the protocol."""
+    await cluster.traffic.set_bad_client_rate(BAD_CLIENTS_PER_S)
+    await asyncio.sleep(fault.duration_s)
+    await cluster.traffic.set_bad_client_rate(0.0)
+
+
+# --- the registry
+
+
+@dataclass(frozen=True, slots=True)
+class RouterFault:
+    """A fault of single routers; exclusive ones never meet on a router, the others come on top of any."""
+
+    inject: Callable[[Cluster, RouterSlot, Fault], Awaitable[None]]
+    is_exclusive: bool = True
+
+
+@dataclass(frozen=True, slots=True)
+class WorkerFault:
+    """A fault of single worker slots; no two of them meet on a slot."""
+
+    inject: Callable[[Cluster, WorkerSlot, Fault], Awaitable[None]]
+
+
+@dataclass(frozen=True, slots=True)
+class ClientFault:
+    """A fault of the clients, which may come on top of any other one."""
+
+    inject: Callable[[Cluster, Fault], Awaitable[None]]
+
+
+FAULTS: Final[dict[FaultKind, RouterFault | WorkerFault | ClientFault]] = {
+    FaultKind.ROUTER_ROLL: RouterFault(roll_router),
+    FaultKind.ROUTER_KILL: RouterFault(kill_router),
+    FaultKind.ROUTER_PAUSE: RouterFault(pause_router),
+    FaultKind.RELOAD: RouterFault(reload_router),
+    FaultKind.LOG_READER_STALLS: RouterFault(stall_log_reader),
+    FaultKind.ENDPOINT_LOG_BREAKS: RouterFault(break_endpoint_log),
+    FaultKind.ENDPOINT_LOG_SILENT: RouterFault(silence_endpoint_log, is_exclusive=False),
+    FaultKind.CLOCK_STEP: RouterFault(step_clock, is_exclusive=False),
+    FaultKind.CALLS_FAIL: RouterFault(fail_calls, is_exclusive=False),
+    FaultKind.WORKER_RESTART: WorkerFault(restart_worker),
+    FaultKind.WORKER_REPLACE: WorkerFault(replace_worker),
+    FaultKind.WORKER_HANG: WorkerFault(hang_worker),
+    FaultKind.CONNECTIONS_RESET: WorkerFault(reset_connections),
+    FaultKind.ANSWERS_SPOILED: WorkerFault(corrupt_answers),
+    FaultKind.WORKER_REFUSES: WorkerFault(refuse_connections),
+    FaultKind.BURST: ClientFault(burst),
+    FaultKind.BAD_CLIENTS: ClientFault(add_bad_clients),
+}
--- /dev/null
+++ b/soak/injector.py
@@ -0,0 +1,46 @@
+"""Injects the faults of a plan into a cluster, and keeps those that exclude each other apart."""
+
+import asyncio
+import contextlib
+from collections.abc import Iterator
+
+from soak.cluster import Cluster
+from soak.faults import FAULTS, ClientFault, RouterFault, WorkerFault
+from soak.plan import Fault
+
+
+class FaultInjector:
+    """Knows which targets have an exclusive fault at present, and leaves these out of the next one."""
+
+    def __init__(self, cluster: Cluster) -> None:
+        self._cluster = cluster
+        self._busy_routers: set[int] = set()
+        self._busy_workers: set[int] = set()
+
+    async def inject(self, fault: Fault) -> None:
+        """Inject a fault into each of its targets that is free for it, and wait until it is over."""
+        match FAULTS[fault.kind]:
+            case RouterFault(inject, is_exclusive=True):
+                with _reserve(fault.routers, self._busy_routers) as numbers:
+                    routers = [self._cluster.routers[number] for number in numbers]
+                    await asyncio.gather(*(inject(self._cluster, router, fault) for router in routers))
+            case RouterFault(inject):
+                routers = [self._cluster.routers[number] for number in fault.routers]
+                await asyncio.gather(*(inject(self._cluster, router, fault) for router in routers))
+            case WorkerFault(inject):
+                with _reserve(fault.workers, self._busy_workers) as numbers:
+                    slots = [self._cluster.workers[number] for number in numbers]
+                    await asyncio.gather(*(inject(self._cluster, slot, fault) for slot in slots))
+            case ClientFault(inject):
+                await inject(self._cluster, fault)
+
+
+@contextlib.contextmanager
+def _reserve(targets: list[int], busy: set[int]) -> Iterator[list[int]]:
+    """Those of the targets that are free; they count as busy until the end of the block."""
+    free = [target for target in targets if target not in busy]
+    busy.update(free)
+    try:
+        yield free
+    finally:
+        busy.difference_update(free)
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -13,7 +13,6 @@
 
 from function_router.decisions.types import RetrySafety
 from soak import site
-from soak.processes import RouterIncarnation
 from soak.records import (
     AnswerKind,
     AttemptSeen,
@@ -26,7 +25,7 @@
     WorkerAnswerSeen,
     read_records,
 )
-from soak.run import RunRecord, WorkerIncarnation
+from soak.run_record import RouterIncarnation, RunRecord, WorkerIncarnation
 
 MEASURING_SLACK_S = 0.05
 LATE_ANSWER_S = 0.5
@@ -134,8 +133,8 @@
         return self._verdict
 
     def _read(self) -> None:
-        for name in ("clients.jsonl", "proxy.jsonl"):
-            for item in read_records(self._record.folder / name):
+        for path in (self._record.folder.client_records, self._record.folder.proxy_records):
+            for item in read_records(path):
                 if isinstance(item, StartOrderSeen):
                     self._orders.append(item)
                 elif isinstance(item, BadClientSeen):
@@ -144,8 +143,7 @@
                     self._requests[item.request_id].add(item)
 
     def _incarnations(self) -> Iterator[RouterIncarnation]:
-        for router in self._record.routers:
-            yield from router.incarnations
+        yield from self._record.router_incarnations
 
     # --- answers ------------------------------------------------------------------------------------
 
@@ -262,7 +260,7 @@
 
     def _check_slow_starts(self) -> None:
         for incarnation in self._record.worker_incarnations:
-            if incarnation.is_cold:
+            if incarnation.is_in_slow_start:
                 self._check_slow_start(incarnation)
 
     def _check_slow_start(self, incarnation: WorkerIncarnation) -> None:
@@ -340,8 +338,8 @@
                 )
 
     def _check_logs(self) -> None:
-        for router in self._record.routers:
-            path = self._record.folder / f"router-{router.router}.log"
+        for router in range(self._record.plan.router_count):
+            path = self._record.folder.router_log(router)
             for line in path.read_text(errors="replace").splitlines() if path.exists() else ():
                 if any(text in line for text in ERROR_TEXTS):
                     self._verdict.add(Rule.ERROR_LOGGED, line)
--- /dev/null
+++ b/soak/router_slot.py
@@ -0,0 +1,166 @@
+"""A router of the cluster, across the incarnations of its process."""
+
+import asyncio
+import os
+import signal
+import sys
+import time
+from pathlib import Path
+
+from soak import site
+from soak.module_process import ROOT
+from soak.router_config import RouterConfig
+from soak.run_folder import RunFolder
+from soak.run_record import RouterIncarnation
+from soak.shim import CONTROL_VARIABLE, ShimControl
+from soak.thrift_client import is_router_ready
+
+CONFIG_VARIABLE = "ROUTER_CONFIG"
+READY_TIMEOUT_S = 30.0
+READY_POLL_S = 0.02
+EXIT_TIMEOUT_S = 30.0  # after SIGKILL
+MAX_DRAIN_S = 3.0  # after SIGTERM a router gets the longest timeout of a request, but no more than this,
+KILL_GRACE_S = 0.7  # and this on top
+LOG_READ_BYTES = 4096  # small, so that a log that is not read fills its pipe soon
+LOG_POLL_S = 0.05  # while the log is not read
+
+
+class RouterSlot:
+    """One router: its configuration, its present process, and its incarnations so far.
+
+    It owns the process; the cluster has it clean up at the end of the run.
+
+    Attributes:
+        number: which of the cluster's routers it is.
+        config: written to the configuration file by `start` and `reload`.
+        shim_control: what its shim does after the next `write_shim_control`.
+        incarnations: oldest first, with the present one last.
+        is_log_read: while False, nobody reads the log that the process writes.
+    """
+
+    def __init__(self, number: int, folder: RunFolder, config: RouterConfig, shim: Path | None) -> None:
+        self.number = number
+        self.config = config
+        self.shim_control = ShimControl()
+        self.incarnations: list[RouterIncarnation] = []
+        self.is_log_read = True
+        self._folder = folder
+        self._shim = shim
+        self._process: asyncio.subprocess.Process | None = None
+        self._log_tasks: list[asyncio.Task[None]] = []
+
+    @property
+    def incarnation(self) -> RouterIncarnation:
+        """The present or, while the router is down, the last incarnation."""
+        return self.incarnations[-1]
+
+    async def start(self) -> None:
+        """Start an incarnation, and wait until it is ready, has ended, or `READY_TIMEOUT_S` have passed."""
+        self._write_config()
+        self.write_shim_control()
+        self.incarnations.append(RouterIncarnation(self.number, time.monotonic()))
+        self._process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "function_router",
+            "serve",
+            cwd=ROOT,
+            env=self._environment(),
+            stderr=asyncio.subprocess.PIPE,
+            limit=LOG_READ_BYTES,
+        )
+        self._log_tasks.append(asyncio.create_task(self._copy_log(self._process)))
+        await self._wait_ready()
+
+    def reload(self) -> None:
+        """Replace the configuration file, and have the process read it again."""
+        self._write_config()
+        self._signal(signal.SIGHUP)
+
+    def write_shim_control(self) -> None:
+        """Have the shim follow `shim_control`."""
+        self.shim_control.write(self._folder.shim_control(self.number))
+
+    def pause(self) -> None:
+        """Stop the process from running, with SIGSTOP."""
+        self._signal(signal.SIGSTOP)
+
+    def resume(self) -> None:
+        """Let the process run again."""
+        self._signal(signal.SIGCONT)
+
+    async def crash(self) -> None:
+        """End the process with SIGKILL, as planned, and wait for its end."""
+        self.incarnation.killed_at = time.monotonic()
+        self._signal(signal.SIGKILL)
+        await self._record_exit(EXIT_TIMEOUT_S)
+
+    async def terminate(self) -> None:
+        """Send SIGTERM, then SIGKILL once the longest timeout of a request and some time more have passed."""
+        self.incarnation.term_at = time.monotonic()
+        self._signal(signal.SIGTERM)
+        if not await self._record_exit(min(site.MAX_TIMEOUT_MS / 1000, MAX_DRAIN_S) + KILL_GRACE_S):
+            self.incarnation.overdue_at = time.monotonic()
+            self._signal(signal.SIGKILL)
+            await self._record_exit(EXIT_TIMEOUT_S)
+
+    def record_unplanned_exit(self) -> None:
+        """Record an exit that nobody asked for, where there was one."""
+        if self._process and self._process.returncode is not None and self.incarnation.exited_at is None:
+            self.incarnation.exit_code = self._process.returncode
+            self.incarnation.exited_at = time.monotonic()
+
+    async def clean_up(self) -> None:
+        """End the process, whatever state the run is in, and wait until it has ended."""
+        self.is_log_read = True
+        self._signal(signal.SIGKILL)
+        if self._process:
+            await self._process.wait()
+
+    def _signal(self, number: int) -> None:
+        if self._process and self._process.returncode is None:
+            self._process.send_signal(number)
+
+    async def _record_exit(self, within_s: float) -> bool:
+        """Wait for the end of the process; whether it came in time."""
+        assert self._process
+        try:
+            self.incarnation.exit_code = await asyncio.wait_for(self._process.wait(), within_s)
+        except TimeoutError:
+            return False
+        self.incarnation.exited_at = time.monotonic()
+        return True
+
+    def _write_config(self) -> None:
+        """Replace the configuration file in one step: the process may read it at any time."""
+        path = self._folder.router_config(self.number)
+        new_path = path.with_suffix(".new")
+        new_path.write_bytes(self.config.encode())
+        new_path.rename(path)
+
+    def _environment(self) -> dict[str, str]:
+        environment = {**os.environ, CONFIG_VARIABLE: str(self._folder.router_config(self.number))}
+        if self._shim:
+            environment["LD_PRELOAD"] = str(self._shim)
+            environment[CONTROL_VARIABLE] = str(self._folder.shim_control(self.number))
+        return environment
+
+    async def _copy_log(self, process: asyncio.subprocess.Process) -> None:
+        assert process.stderr
+        with self._folder.router_log(self.number).open("ab") as file:
+            while True:
+                while not self.is_log_read:
+                    await asyncio.sleep(LOG_POLL_S)
+                data = await process.stderr.read(LOG_READ_BYTES)
+                if not data:
+                    return
+                file.write(data)
+                file.flush()
+
+    async def _wait_ready(self) -> None:
+        end = time.monotonic() + READY_TIMEOUT_S
+        while time.monotonic() < end and self._process and self._process.returncode is None:
+            if await is_router_ready(self.config.port):
+                self.incarnation.ready_at = time.monotonic()
+                return
+            await asyncio.sleep(READY_POLL_S)
--- /dev/null
+++ b/soak/run_record.py
@@ -0,0 +1,61 @@
+"""What the run itself records, for the checker: when processes started and ended, and why.
+
+All times are seconds of the machine's monotonic clock.
+"""
+
+from dataclasses import dataclass, field
+
+from soak.plan import Plan
+from soak.run_folder import RunFolder
+
+
+@dataclass
+class RouterIncarnation:
+    """One process of a router, from its start to its end; None for what did not happen."""
+
+    router: int
+    started_at: float
+    ready_at: float | None = None
+    term_at: float | None = None  # SIGTERM was sent
+    killed_at: float | None = None  # by a planned SIGKILL
+    overdue_at: float | None = None  # by a SIGKILL, as it had not ended by itself after SIGTERM
+    exited_at: float | None = None
+    exit_code: int | None = None
+
+
+@dataclass
+class WorkerIncarnation:
+    """One process of a worker slot.
+
+    Attributes:
+        worker: the worker slot.
+        name: the worker's name in the endpoint events.
+        started_at: when it began to listen.
+        is_in_slow_start: whether it started during the run, so that routers owe it a slow start.
+        ready_notified_at: by router, from when on the router counts as notified that it is READY.
+        drain_notified_at: the same of its drain; empty where it was not drained.
+    """
+
+    worker: int
+    name: str
+    started_at: float
+    is_in_slow_start: bool
+    ready_notified_at: dict[int, float] = field(default_factory=dict)
+    drain_notified_at: dict[int, float] = field(default_factory=dict)
+
+
+@dataclass(frozen=True)
+class RunRecord:
+    """One run as the checker gets it.
+
+    Attributes:
+        plan: what was to happen.
+        folder: has the observations of clients and proxy, and the logs.
+        router_incarnations: in the order of routers, and of the starts of each.
+        worker_incarnations: in the order of their starts.
+    """
+
+    plan: Plan
+    folder: RunFolder
+    router_incarnations: list[RouterIncarnation]
+    worker_incarnations: list[WorkerIncarnation]
--- /dev/null
+++ b/soak/traffic.py
@@ -0,0 +1,49 @@
+"""Control of the clients' process: how many requests it sends, and to which routers."""
+
+from collections.abc import Sequence
+
+import msgspec
+
+from soak.commands import ClientsCommand
+from soak.module_process import ModuleProcess
+
+
+class Traffic:
+    """Drives the clients; each change takes effect at once, and leaves all else as it was."""
+
+    def __init__(self, process: ModuleProcess, router_count: int) -> None:
+        self._process = process
+        self._command = ClientsCommand([0] * router_count, 0.0)
+
+    async def start(self, ports: Sequence[int], requests_per_s: float) -> None:
+        """Send requests to the routers at these ports; 0 for a router that is down."""
+        await self._change(ports=list(ports), requests_per_s=requests_per_s)
+
+    async def stop(self) -> None:
+        """Start no more requests and no more bad clients."""
+        await self._change(requests_per_s=0.0, bad_clients_per_s=0.0)
+
+    async def set_request_rate(self, requests_per_s: float) -> None:
+        """Change the rate of requests, of all clients together."""
+        await self._change(requests_per_s=requests_per_s)
+
+    async def set_bad_client_rate(self, bad_clients_per_s: float) -> None:
+        """Change how many clients break the protocol."""
+        await self._change(bad_clients_per_s=bad_clients_per_s)
+
+    async def use_router(self, router: int, port: int) -> None:
+        """Send requests to a router at its port."""
+        await self._set_port(router, port)
+
+    async def avoid_router(self, router: int) -> None:
+        """Send no more requests to a router."""
+        await self._set_port(router, 0)
+
+    async def _set_port(self, router: int, port: int) -> None:
+        ports = list(self._command.ports)
+        ports[router] = port
+        await self._change(ports=ports)
+
+    async def _change(self, **changes: float | list[int]) -> None:
+        self._command = msgspec.structs.replace(self._command, **changes)
+        await self._process.send_command(self._command)
--- /dev/null
+++ b/soak/worker_slot.py
@@ -0,0 +1,80 @@
+"""A worker slot of the cluster: an address at the proxy, behind which worker processes follow each other."""
+
+import asyncio
+import time
+
+from soak.commands import ProxyCommand
+from soak.endpoint_events import Endpoint, EndpointPhase
+from soak.module_process import ModuleProcess
+from soak.run_record import WorkerIncarnation
+
+
+class WorkerSlot:
+    """One slot: its present worker process, and its incarnations so far.
+
+    It owns the processes; the cluster has it clean up at the end of the run.
+
+    Attributes:
+        number: which of the cluster's slots it is.
+        incarnations: oldest first, with the present one last.
+    """
+
+    def __init__(self, number: int, proxy: ModuleProcess) -> None:
+        self.number = number
+        self.incarnations: list[WorkerIncarnation] = []
+        self._proxy = proxy
+        self._processes: list[ModuleProcess] = []  # one for each incarnation
+        self._port = 0
+        self._started_at_ms = 0.0
+
+    @property
+    def incarnation(self) -> WorkerIncarnation:
+        """The present or, while there is none, the last incarnation."""
+        return self.incarnations[-1]
+
+    @property
+    def process(self) -> ModuleProcess:
+        """The process of the present incarnation."""
+        return self._processes[-1]
+
+    def endpoint(self, phase: EndpointPhase) -> Endpoint:
+        """The present worker as an endpoint event publishes it."""
+        return Endpoint(self.incarnation.name, self.number, phase, self._started_at_ms)
+
+    async def start(self, name: str, *, is_in_slow_start: bool) -> None:
+        """Start a process, and have the proxy forward to it.
+
+        Args:
+            name: the worker's name in endpoint events.
+            is_in_slow_start: False for one that counts as started long ago.
+        """
+        process = await ModuleProcess.start("soak.worker")
+        self._processes.append(process)
+        self._port = int(await process.read_line())
+        self.incarnations.append(WorkerIncarnation(self.number, name, time.monotonic(), is_in_slow_start))
+        self._started_at_ms = time.time() * 1000 if is_in_slow_start else 0.0
+        await self.forward()
+
+    async def crash(self) -> None:
+        """Kill the process, and have the proxy refuse connections for it."""
+        self.process.kill()
+        await self.refuse_connections()
+
+    async def forward(self, *, corrupted_share: float = 0.0, reset_connections: bool = False) -> None:
+        """Have the proxy forward to the present process.
+
+        Args:
+            corrupted_share: the share of the worker's bytes that the proxy corrupts, by reads.
+            reset_connections: whether it first resets the connections that are open.
+        """
+        await self._proxy.send_command(
+            ProxyCommand(self.number, self._port, corrupted_share, reset_connections=reset_connections)
+        )
+
+    async def refuse_connections(self) -> None:
+        """Have the proxy reset the connections to this slot and refuse new ones."""
+        await self._proxy.send_command(ProxyCommand(self.number, None))
+
+    async def clean_up(self) -> None:
+        """End the processes of all incarnations, and wait until they have ended."""
+        await asyncio.gather(*(process.clean_up() for process in self._processes))
--- a/tests/test_soak_judge.py
+++ b/tests/test_soak_judge.py
@@ -5,7 +5,6 @@
 from soak import site
 from soak.judge import Judge, Rule, slow_start_limit
 from soak.plan import FaultKind, draw_plan
-from soak.processes import RouterIncarnation, RouterProcessHandle
 from soak.records import (
     AnswerKind,
     AttemptSeen,
@@ -18,7 +17,8 @@
     StartOrderSeen,
     WorkerAnswerSeen,
 )
-from soak.run import RunRecord, WorkerIncarnation
+from soak.run_folder import RunFolder
+from soak.run_record import RouterIncarnation, RunRecord, WorkerIncarnation
 
 ROUTER = 0
 WORKER = 0
@@ -37,16 +37,16 @@
     """Judge records of one router and one worker."""
 
     def run(*records, incarnation=None, worker_incarnations=(), log=""):
-        recorder = Recorder(tmp_path / "clients.jsonl")
+        folder = RunFolder(tmp_path)
+        recorder = Recorder(folder.client_records)
         for record in records:
             recorder.add(record)
         recorder.close()
-        (tmp_path / "proxy.jsonl").touch()
-        (tmp_path / "router-0.log").write_text(log)
-        router = RouterProcessHandle(ROUTER, tmp_path, 1, {}, None)
-        router.incarnations = [incarnation or RouterIncarnation(ROUTER, 90.0, ready_at=91.0)]
+        folder.proxy_records.touch()
+        folder.router_log(ROUTER).write_text(log)
         plan = draw_plan(1, 1, 1, duration_s=9.0, requests_per_s=1.0, kinds=list(FaultKind))
-        record = RunRecord(plan, [router], list(worker_incarnations), tmp_path)
+        routers = [incarnation or RouterIncarnation(ROUTER, 90.0, ready_at=91.0)]
+        record = RunRecord(plan, folder, routers, list(worker_incarnations))
         return set(Judge(record).judge().violations)
 
     return run
