--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -11,8 +11,9 @@
 import msgspec
 import typer
 
-from soak.judge import Judge, Verdict
+from soak.checker import check_run
 from soak.plan import FaultKind, Plan, draw_plan
+from soak.rules import Verdict
 from soak.run import run_plan
 from soak.run_folder import RunFolder
 
@@ -37,7 +38,7 @@
     folder.path.mkdir(parents=True)
     folder.plan.write_bytes(msgspec.json.format(msgspec.json.encode(plan)))
     record = asyncio.run(run_plan(plan, folder, uses_shim=uses_shim))
-    return Judge(record).judge()
+    return check_run(record)
 
 
 def _report(plan: Plan, verdict: Verdict, took_s: float) -> None:
--- /dev/null
+++ b/soak/figures.py
@@ -0,0 +1,31 @@
+"""How much was observed in a run: shown beside the verdict, as an idle run keeps all rules too."""
+
+from collections import Counter
+
+from soak.history import RequestHistory, RunHistory
+
+SLOW_TURN_TEXT = "slow turn"  # in a line of a router's log
+
+
+def count_figures(history: RunHistory) -> Counter[str]:
+    """The counts by what they count."""
+    figures: Counter[str] = Counter()
+    for request in history.requests:
+        _count_request(request, figures)
+    incarnations = history.record.router_incarnations
+    figures["router incarnations"] = len(incarnations)
+    figures["ended by SIGKILL after SIGTERM"] = sum(each.overdue_at is not None for each in incarnations)
+    figures["bad clients"] = len(history.bad_clients)
+    for router in range(history.record.plan.router_count):
+        figures["slow turns"] += sum(SLOW_TURN_TEXT in line for line in history.log_lines(router))
+    return figures
+
+
+def _count_request(request: RequestHistory, figures: Counter[str]) -> None:
+    figures["requests"] += 1
+    figures["attempts"] += len(request.attempts)
+    figures["sent again after a close"] += sum(lost.is_retried for lost in request.lost)
+    if request.gone:
+        figures["clients that left"] += 1
+    elif request.answers:
+        figures[f"answered {request.answers[0].kind}"] += 1
--- /dev/null
+++ b/soak/history.py
@@ -0,0 +1,116 @@
+"""The history of a run, as the checker reads it from the records: by request, and by kind of observation."""
+
+from collections import defaultdict
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+from function_router.net.codecs import worker_frames as frames
+from soak.records import (
+    AttemptSeen,
+    BadClientSeen,
+    ClientGone,
+    ConnectionLost,
+    RequestAnswered,
+    RequestRecord,
+    RequestSent,
+    StartOrderSeen,
+    WorkerAnswerSeen,
+    read_records,
+)
+from soak.run_record import RunRecord
+
+# The codes of workers' answers that say that the request has not run.
+NEVER_RAN_CODES = (frames.NOT_LOADED, frames.QUEUE_FULL, frames.EXPIRED)
+
+
+@dataclass
+class RequestHistory:
+    """All that was observed of one request; `sent` is empty for one that no client of this run sent."""
+
+    request_id: str
+    sent: list[RequestSent] = field(default_factory=list)
+    answers: list[RequestAnswered] = field(default_factory=list)
+    gone: ClientGone | None = None
+    lost: list[ConnectionLost] = field(default_factory=list)
+    attempts: list[AttemptSeen] = field(default_factory=list)
+    worker_answers: list[WorkerAnswerSeen] = field(default_factory=list)
+
+    def add(self, record: RequestRecord) -> None:
+        """Add what was observed."""
+        match record:
+            case RequestSent():
+                self.sent.append(record)
+            case RequestAnswered():
+                self.answers.append(record)
+            case ClientGone():
+                self.gone = record
+            case ConnectionLost():
+                self.lost.append(record)
+            case AttemptSeen():
+                self.attempts.append(record)
+            case WorkerAnswerSeen():
+                self.worker_answers.append(record)
+
+    @property
+    def attempts_that_may_have_run(self) -> list[AttemptSeen]:
+        """The attempts that no worker has answered as not run, oldest first."""
+        attempts = [attempt for attempt in self.attempts if not self._has_never_run(attempt)]
+        return sorted(attempts, key=lambda attempt: attempt.at)
+
+    def _has_never_run(self, attempt: AttemptSeen) -> bool:
+        return any(
+            (answer.router, answer.worker) == (attempt.router, attempt.worker)
+            and answer.at >= attempt.at
+            and answer.code in NEVER_RAN_CODES
+            for answer in self.worker_answers
+        )
+
+
+class RunHistory:
+    """All that was observed of one run.
+
+    Attributes:
+        record: what the run itself recorded.
+        start_orders: probes among them.
+        bad_clients: what became of each.
+    """
+
+    def __init__(self, record: RunRecord) -> None:
+        """Read the records of clients and proxy."""
+        self.record = record
+        self.start_orders: list[StartOrderSeen] = []
+        self.bad_clients: list[BadClientSeen] = []
+        self._requests: dict[str, RequestHistory] = {}
+        for path in (record.folder.client_records, record.folder.proxy_records):
+            for item in read_records(path):
+                if isinstance(item, StartOrderSeen):
+                    self.start_orders.append(item)
+                elif isinstance(item, BadClientSeen):
+                    self.bad_clients.append(item)
+                else:
+                    request_id = item.request_id
+                    self._requests.setdefault(request_id, RequestHistory(request_id)).add(item)
+
+    @property
+    def requests(self) -> list[RequestHistory]:
+        """The requests that clients have sent."""
+        return [request for request in self._requests.values() if request.sent]
+
+    @property
+    def attempts(self) -> Iterator[AttemptSeen]:
+        """All attempts, also those for requests that no client is known to have sent."""
+        for request in self._requests.values():
+            yield from request.attempts
+
+    def sent_times_by_router(self) -> dict[int, list[float]]:
+        """When clients sent requests to each router, in order."""
+        times: dict[int, list[float]] = defaultdict(list)
+        for request in self._requests.values():
+            for sent in request.sent:
+                times[sent.router].append(sent.at)
+        return {router: sorted(sent_at) for router, sent_at in times.items()}
+
+    def log_lines(self, router: int) -> list[str]:
+        """The log of a router; empty where it has never started."""
+        path = self.record.folder.router_log(router)
+        return path.read_text(errors="replace").splitlines() if path.exists() else []
--- /dev/null
+++ b/soak/router_rules.py
@@ -0,0 +1,48 @@
+"""The rules on the routers' processes: their starts and ends, their bad clients, and their logs."""
+
+from collections.abc import Iterator
+
+from soak.history import RunHistory
+from soak.records import BadClientSeen
+from soak.rules import Rule, Violation
+from soak.run_record import RouterIncarnation
+from soak.tolerances import MEASURING_SLACK_S
+
+MAX_START_S = 10.0
+MAX_BAD_CLIENT_S = 3.0  # until a bad client has its rejection, error or close
+ERROR_TEXTS = ("invariant violated", "unhandled exception", "Traceback")  # in a line of a router's log
+
+
+def check_routers(history: RunHistory) -> Iterator[Violation]:
+    """All violations of the rules on routers' processes."""
+    incarnations = history.record.router_incarnations
+    for incarnation in incarnations:
+        yield from _check_incarnation(incarnation)
+    killed_routers = {each.router for each in incarnations if each.killed_at is not None}
+    for seen in history.bad_clients:
+        if seen.router not in killed_routers:
+            yield from _check_bad_client(seen)
+    for router in range(history.record.plan.router_count):
+        for line in history.log_lines(router):
+            if any(text in line for text in ERROR_TEXTS):
+                yield Violation(Rule.LOGGED_ERROR, line)
+
+
+def _check_incarnation(incarnation: RouterIncarnation) -> Iterator[Violation]:
+    """It is ready in time, and ends only where it was asked to, with exit code 0 after SIGTERM."""
+    name = f"router {incarnation.router}, started at {incarnation.started_at:.1f}"
+    was_asked = incarnation.term_at is not None or incarnation.killed_at is not None
+    if incarnation.exited_at is not None and (not was_asked or _has_ended_badly(incarnation)):
+        yield Violation(Rule.CRASH, f"{name}: exit code {incarnation.exit_code}")
+    elif incarnation.ready_at is None or incarnation.ready_at - incarnation.started_at > MAX_START_S:
+        yield Violation(Rule.NOT_READY, name)
+
+
+def _has_ended_badly(incarnation: RouterIncarnation) -> bool:
+    was_killed = incarnation.killed_at is not None or incarnation.overdue_at is not None
+    return not was_killed and incarnation.exit_code != 0
+
+
+def _check_bad_client(seen: BadClientSeen) -> Iterator[Violation]:
+    if seen.took_s > MAX_BAD_CLIENT_S + MEASURING_SLACK_S or not seen.is_settled:
+        yield Violation(Rule.BAD_CLIENT, f"{seen.kind} at router {seen.router}: {seen.took_s:.2f} s")
--- /dev/null
+++ b/soak/rules.py
@@ -0,0 +1,50 @@
+"""The operator's rules, and what the checker found of their violations."""
+
+from collections import Counter, defaultdict
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from enum import StrEnum
+
+MAX_EXAMPLES = 3  # of each rule in a report
+
+
+class Rule(StrEnum):
+    """What may not happen; the value is the text of a report."""
+
+    LOST = "request without its one answer in time"
+    DUPLICATE = "second answer, or a body that no worker made"
+    CLIENT_GONE = "attempt for a client that has gone"
+    TIMEOUT = "worker sent more time than the client has left"
+    RETRY = "attempt that the class does not allow"
+    REJECTED_AFTER_RUN = "rejection of what may have run"
+    DRAIN = "new work to a draining or removed worker"
+    SLOW_START = "overload of a worker in slow start"
+    START_ORDER_RATE = "more start orders than the rate limit allows"
+    CRASH = "router that ended by itself"
+    NOT_READY = "router that was not ready in time"
+    BAD_CLIENT = "bad client without rejection, error or close"
+    LOGGED_ERROR = "error in a router's log"
+
+
+@dataclass(frozen=True, slots=True)
+class Violation:
+    """One violation of a rule, with what an engineer needs to find it in the records."""
+
+    rule: Rule
+    example: str
+
+
+@dataclass
+class Verdict:
+    """How often each rule was broken, with examples, and how much was observed."""
+
+    violations: Counter[Rule] = field(default_factory=Counter)
+    examples: dict[Rule, list[str]] = field(default_factory=lambda: defaultdict(list))
+    figures: Counter[str] = field(default_factory=Counter)
+
+    def add(self, violations: Iterable[Violation]) -> None:
+        """Count violations, and keep the first few of each rule as examples."""
+        for violation in violations:
+            self.violations[violation.rule] += 1
+            if len(self.examples[violation.rule]) < MAX_EXAMPLES:
+                self.examples[violation.rule].append(violation.example)
