--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,13 +1,7 @@
 """Health: silent, unresponsive and slow workers."""
 
 import pytest
-from helpers.decision_harness import (
-    DecisionHarness,
-    actions_of,
-    one_of_many_routers,
-    probes,
-    start_orders,
-)
+from helpers.decision_harness import DecisionHarness, actions_of, one_of_many_routers, probes, start_orders
 
 from function_router.decisions.actions import EnsureInstances, LogMessage, SendRequest
 from function_router.decisions.types import Outcome
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -3,12 +3,7 @@
 from collections import Counter
 
 import pytest
-from helpers.decision_harness import (
-    DecisionHarness,
-    actions_of,
-    many_routers,
-    one_of_many_routers,
-)
+from helpers.decision_harness import DecisionHarness, actions_of, many_routers, one_of_many_routers
 
 from function_router.decisions.actions import EnsureInstances, SendRequest
 from function_router.decisions.placement import FAR_SEND_SHARE_FACTOR
--- a/tests/net/test_client_messages.py
+++ b/tests/net/test_client_messages.py
@@ -1,7 +1,7 @@
 """Tests of `client_messages`: the messages in a client's bytes, and when the next one is overdue."""
 
 import pytest
-from helpers.fake_client import REQUEST_FIELDS, encode_request
+from helpers.client_messages import REQUEST_FIELDS, encode_request
 
 from function_router.net import client_messages, clock
 from function_router.net.client_messages import (
