--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,5 +1,6 @@
 """Tests of the README and the pages under docs/: the example runs, and what they name exists."""
 
+import ast
 import re
 from pathlib import Path
 
@@ -13,6 +14,11 @@
 TEST_IN_PAGE = re.compile(r"`(test_\w+)`")
 TEST_IN_CODE = re.compile(r"^def (test_\w+)\(", re.MULTILINE)
 
+# A row of the table of log lines has samples in its first cell; words in capitals stand for what varies.
+LOG_TABLE_HEADING = "## Reading the log on call"
+SAMPLE = re.compile(r"`([^`]+)`")
+FIXED_WORDS = re.compile(r"[a-z]+(?: [a-z]+)*")
+
 each_page = pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
 
 
@@ -45,3 +51,30 @@
     tests = {test for source in sources for test in TEST_IN_CODE.findall(source)}
 
     assert set(TEST_IN_PAGE.findall(page.read_text())) <= tests
+
+
+def explained_log_lines():
+    """The samples in the first cells of the table of log lines."""
+    table = (ROOT / "docs" / "architecture.md").read_text().partition(LOG_TABLE_HEADING)[2]
+    first_cells = [line.split(" | ")[0] for line in table.splitlines() if line.startswith("| `")]
+    return [sample for cell in first_cells for sample in SAMPLE.findall(cell)]
+
+
+def string_literals(path):
+    """The string literals of a module, and the fixed pieces of its f-strings, without doc comments."""
+    nodes = list(ast.walk(ast.parse(path.read_text())))
+    doc_comments = {id(node.value) for node in nodes if isinstance(node, ast.Expr)}
+    literals = [node for node in nodes if isinstance(node, ast.Constant) and isinstance(node.value, str)]
+    return [literal.value for literal in literals if id(literal) not in doc_comments]
+
+
+def test_log_lines_that_the_architecture_page_explains_are_in_the_code():
+    modules = (ROOT / "function_router").rglob("*.py")
+    literals = [literal for path in modules for literal in string_literals(path)]
+
+    samples = explained_log_lines()
+
+    assert samples
+    for sample in samples:
+        for words in FIXED_WORDS.findall(sample):
+            assert any(words in literal for literal in literals), f"{words!r} of {sample!r}"
