--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -71,6 +71,13 @@
     "notified": re.compile("(?<![a-z])to" + "ld(?![a-z])", re.IGNORECASE),
     "send checks": re.compile("start_ru" + "les"),
     "fault": re.compile("trou" + "ble", re.IGNORECASE),
+    "reason not to send": re.compile("Refu" + "sal"),
+    "rate limit": re.compile("(?<![a-z])ra" + "tion(s|ed)?(?![a-z])", re.IGNORECASE),
+    "poll": re.compile("_lo" + "ok(?![a-z])|(?<![a-z])lo" + "ok_", re.IGNORECASE),
+    "stalled": re.compile("(?<![a-z])(held|hold)" + "[ _]up(?![a-z])", re.IGNORECASE),
+    "loaded": re.compile("cro" + "wd", re.IGNORECASE),
+    "decay": re.compile("(?<![a-z])fa" + "de(s|d)?(?![a-z])", re.IGNORECASE),
+    "interval": re.compile("(?<![a-z])stre" + "tch", re.IGNORECASE),
 }
 
 # Where they may not come back. Pages of findings and incidents are records, and keep the words of their time.
