--- a/function_router/decisions/settings.py
+++ b/function_router/decisions/settings.py
@@ -3,13 +3,12 @@
 Times are milliseconds. `function_router.config` maps them to the keys of the configuration.
 """
 
-from dataclasses import dataclass, field
+from msgspec import Struct
 
 from function_router.decisions.types import DeduplicationScope, RetrySafety
 
 
-@dataclass(slots=True)
-class RequestClass:
+class RequestClass(Struct, frozen=True):
     """The settings of a class of requests."""
 
     name: str
@@ -22,12 +21,11 @@
     late_value_share: float = 0.0  # value of an answer after the objective, as a fraction
 
 
-@dataclass(slots=True)
-class Settings:
+class Settings(Struct, frozen=True):
     """Limits, rules and classes of the deployment."""
 
-    classes: dict[str, RequestClass] = field(default_factory=dict)
-    tenant_quotas_rps: dict[str, float] = field(default_factory=dict)  # for all routers together
+    classes: dict[str, RequestClass] = {}
+    tenant_quotas_rps: dict[str, float] = {}  # for all routers together
     router_count: int = 1
     zone: str = ""  # of this router
     tick_ms: float = 1.0  # least interval between two batches of events
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -24,7 +24,6 @@
 ALLOWED_IMPORTS = {
     "collections",
     "collections.abc",
-    "dataclasses",
     "enum",
     "hashlib",
     "itertools",
