--- /dev/null
+++ b/tests/net/test_connection_activity.py
@@ -0,0 +1,97 @@
+"""Tests of `connection_activity`."""
+
+from types import SimpleNamespace
+
+import pytest
+from helpers.fake_clock import FakeMonotonicClock
+
+from function_router.net import connection_activity
+from function_router.net.connection_activity import STALE_RESET_MS, UNRESPONSIVE_AFTER_MS, ConnectionActivity
+
+STARTED_AT_MS = 10_000.0
+IDLE_MS = 300.0
+
+
+@pytest.fixture
+def clock(monkeypatch):
+    """The clock that the activity reads."""
+    clock = FakeMonotonicClock(STARTED_AT_MS)
+    monkeypatch.setattr(connection_activity, "monotonic_ms", clock.read_ms)
+    return clock
+
+
+@pytest.fixture
+def connection(clock):
+    """What the activity sees of a TCP connection."""
+    return SimpleNamespace(last_used_ms=clock.now_ms, last_received_ms=clock.now_ms)
+
+
+@pytest.fixture
+def activity(connection):
+    return ConnectionActivity(connection)
+
+
+def test_idle_time_ends_with_the_next_use_and_is_kept(clock, activity):
+    clock.advance(IDLE_MS)
+    assert activity.idle_ms() == IDLE_MS
+
+    activity.on_in_use()
+    clock.advance(IDLE_MS)
+
+    assert activity.idle_before_use_ms == IDLE_MS
+
+
+@pytest.mark.parametrize(
+    ("elapsed_ms", "is_just_in_use"), [(STALE_RESET_MS - 1.0, True), (STALE_RESET_MS, False)]
+)
+def test_connection_is_just_in_use_for_a_moment(clock, activity, elapsed_ms, is_just_in_use):
+    clock.advance(IDLE_MS)
+    activity.on_in_use()
+
+    clock.advance(elapsed_ms)
+
+    assert activity.is_just_in_use() == is_just_in_use
+
+
+@pytest.mark.parametrize(
+    ("elapsed_ms", "is_silent"), [(UNRESPONSIVE_AFTER_MS, False), (UNRESPONSIVE_AFTER_MS + 1.0, True)]
+)
+def test_connection_is_silent_some_time_after_its_use_began(clock, activity, elapsed_ms, is_silent):
+    clock.advance(10 * UNRESPONSIVE_AFTER_MS)  # idle, which is no silence
+    activity.on_in_use()
+
+    clock.advance(elapsed_ms)
+
+    assert activity.is_silent() == is_silent
+
+
+def test_received_bytes_end_the_silence(clock, connection, activity):
+    activity.on_in_use()
+    clock.advance(2 * UNRESPONSIVE_AFTER_MS)
+
+    connection.last_received_ms = clock.now_ms
+
+    assert not activity.is_silent()
+
+
+@pytest.mark.parametrize(
+    ("silent_ms", "was_silent"), [(UNRESPONSIVE_AFTER_MS, False), (UNRESPONSIVE_AFTER_MS + 1.0, True)]
+)
+def test_silence_until_the_last_removal_is_remembered(clock, activity, silent_ms, was_silent):
+    activity.on_in_use()
+    clock.advance(silent_ms)
+
+    activity.on_exchange_removed()
+    clock.advance(10 * UNRESPONSIVE_AFTER_MS)
+
+    assert activity.was_silent_until_removal() == was_silent
+
+
+def test_silence_until_the_last_removal_is_over_once_bytes_are_received(clock, connection, activity):
+    activity.on_in_use()
+    clock.advance(2 * UNRESPONSIVE_AFTER_MS)
+    activity.on_exchange_removed()
+
+    connection.last_received_ms = clock.now_ms
+
+    assert not activity.was_silent_until_removal()
--- a/tests/net/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -3,6 +3,7 @@
 import time
 from unittest import mock
 
+import pytest
 from helpers.exchanges import attempt
 from helpers.fake_worker import FakeWorker
 
@@ -17,15 +18,37 @@
 NOT_LOADED = 2
 QUEUE_FULL = 3
 NO_FRAME = b"HTTP/1.1 200 OK\r\n\r\n"
+MAX_EXCHANGES = 32  # on one connection, unless the settings say otherwise
+NO_READ_S = 0.4  # for which a worker does not read
 
 
-# --- frames that are invalid, incomplete, late or duplicate
+@pytest.fixture
+def worker(worker):
+    """A worker that leaves requests, start orders and probes to the test."""
+    worker.instances = None
+    return worker
+
+
+@pytest.fixture
+def pool(harness):
+    return harness.pool
+
+
+@pytest.fixture
+def results():
+    """The results of the exchanges that the test sends."""
+    return []
+
+
+# --- frames that are invalid, incomplete or duplicate
 
 
 def test_invalid_frame_closes_only_its_connection(start_router):
-    first, second = FakeWorker("s-1"), FakeWorker("s-2")
+    first = FakeWorker("s-1")
+    second = FakeWorker("s-2")
     harness = start_router(first, second)
-    first_results, second_results = [], []
+    first_results = []
+    second_results = []
     harness.pool.send(attempt(first.worker_id, first_results))
     harness.pool.send(attempt(second.worker_id, second_results))
     harness.run_until(lambda: first.requests and second.requests, "both run")
@@ -35,15 +58,14 @@
     second.answer(second.requests[0])
     harness.run_until(lambda: second_results, "the second attempt ends")
 
-    assert (first_results, second_results) == ([(CloseReason.PROTOCOL_ERROR, True)], [(Outcome.OK, True)])
+    assert first_results == [(CloseReason.PROTOCOL_ERROR, True)]
+    assert second_results == [(Outcome.OK, True)]
 
 
-def test_invalid_frame_leaves_requests_on_other_connections_to_the_worker_alone(start_router):
-    worker = FakeWorker(instances=None)
-    harness = start_router(worker)
-    pool = harness.pool
+def test_invalid_frame_leaves_requests_on_other_connections_to_the_worker_alone(
+    harness, pool, worker, results
+):
     worker_id = worker.worker_id
-    results = []
     for number in range(3):
         pool.send(attempt(worker_id, results, exchange_id=b"%08d" % number))
         connections = pool.workers[worker_id].connections
@@ -64,10 +86,7 @@
     assert results == [(CloseReason.PROTOCOL_ERROR, True)] + [(Outcome.OK, True)] * 2
 
 
-def test_incomplete_frame_times_out_its_connection(start_router):
-    worker = FakeWorker(instances=None)
-    harness = start_router(worker)
-    results = []
+def test_incomplete_frame_times_out_its_connection(harness, worker, results):
     harness.run_attempt(worker, results)
     peer, request = worker.requests[0]
     answer = worker_frames.encode(0, request.exchange_id, body=b"x" * 50, direction=worker_frames.FROM_WORKER)
@@ -78,17 +97,12 @@
     assert results == [(CloseReason.READ_TIMEOUT, True)]
 
 
-def test_duplicate_answer_does_not_end_a_retry(start_router):
-    worker = FakeWorker(instances=None)
-    harness = start_router(worker)
-    pool = harness.pool
-    worker_id = worker.worker_id
-    results = []
+def test_duplicate_answer_does_not_end_a_retry(harness, pool, worker, results):
     with mock.patch.object(connection_set, "CONNECTIONS_BEFORE_SHARING", 1):
         harness.run_attempt(worker, results)
         worker.answer(worker.requests[0], QUEUE_FULL, "")
         harness.run_until(lambda: results, "the worker's queue is full")
-        pool.send(attempt(worker_id, results))
+        pool.send(attempt(worker.worker_id, results))
         worker.answer(worker.requests[0], QUEUE_FULL, "")
         harness.run_until(lambda: len(worker.requests) == 2, "it runs again")
 
@@ -101,29 +115,24 @@
 # --- ids of exchanges, and the time that they state
 
 
-def test_connection_carries_limited_exchanges_and_no_id_twice(start_router):
-    worker = FakeWorker(instances=None)
-    harness = start_router(worker)
+def test_connection_carries_limited_exchanges_and_no_id_twice(harness, pool, worker, results):
     worker_id = worker.worker_id
-    results = []
 
-    for number in range(33):
-        harness.pool.send(attempt(worker_id, results, exchange_id=b"%08d" % number))
-    harness.pool.send(attempt(worker_id, results, exchange_id=b"%08d" % 0))
-    harness.run_until(lambda: len(worker.requests) == 34, "all run")
+    for number in range(MAX_EXCHANGES + 1):
+        pool.send(attempt(worker_id, results, exchange_id=b"%08d" % number))
+    pool.send(attempt(worker_id, results, exchange_id=b"%08d" % 0))
+    harness.run_until(lambda: len(worker.requests) == MAX_EXCHANGES + 2, "all run")
 
     for connection in worker.connections:
         ids = [frame.exchange_id for peer, frame in worker.requests if peer is connection]
-        assert len(ids) <= 32
+        assert len(ids) <= MAX_EXCHANGES
         assert len(ids) == len(set(ids))
 
 
-def test_id_of_a_cancelled_attempt_is_not_reused_on_its_connection(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
-    pool = harness.pool
+def test_id_of_a_cancelled_attempt_is_not_reused_on_its_connection(harness, pool, worker):
     worker_id = worker.worker_id
-    first_results, second_results = [], []
+    first_results = []
+    second_results = []
     first_attempt = attempt(worker_id, first_results)
     pool.send(first_attempt)
     harness.run_until(lambda: worker.requests, "it runs")
@@ -138,23 +147,19 @@
     worker.answer(worker.requests[1], NOT_LOADED, "")
     harness.run_until(lambda: second_results, "the second ends")
 
-    assert (first_results, second_results) == (
-        [(CloseReason.CANCELLED, True)],
-        [(Outcome.NOT_LOADED, True)],
-    )
+    assert first_results == [(CloseReason.CANCELLED, True)]
+    assert second_results == [(Outcome.NOT_LOADED, True)]
 
 
-def test_time_left_is_stated_as_of_the_first_byte(start_router):
-    worker = FakeWorker(instances=None)
-    harness = start_router(worker)
-    harness.run_attempt(worker, [])
-    late = attempt(worker.worker_id, [], exchange_id=b"abcdefgh", within_ms=5_000.0)
+def test_time_left_is_stated_as_of_the_first_byte(harness, pool, worker, results):
+    harness.run_attempt(worker, results)
+    late = attempt(worker.worker_id, results, exchange_id=b"abcdefgh", within_ms=5_000.0)
     with mock.patch.object(connection_set, "CONNECTIONS_BEFORE_SHARING", 1):
-        harness.pool.send(late)
+        pool.send(late)
     connection = late.holder.connection
 
     connection._writer.is_blocked = True  # the worker does not read for a while
-    time.sleep(0.4)
+    time.sleep(NO_READ_S)
     connection._ready(WRITE)
     harness.run_until(lambda: len(worker.requests) == 2, "it runs")
 
--- a/tests/net/test_worker_pool.py
+++ b/tests/net/test_worker_pool.py
@@ -2,184 +2,131 @@
 
 import msgspec
 import pytest
-from helpers.configuration import endpoint_event
 from helpers.exchanges import attempt, start_order
 from helpers.fake_worker import FakeWorker
 from helpers.process_harness import UNLISTED_WORKER_ID
 
-from function_router.decisions.types import Outcome, WorkerState
-from function_router.net import connection_set
+from function_router.decisions.types import WorkerState
 from function_router.net.close_reason import CloseReason
+from function_router.net.codecs import worker_frames
+from function_router.net.not_sent_reason import NotSentReason
 
-# --- workers that drain, are removed, move or restart
+OTHER_ADDRESS = ("127.0.0.1", 1)  # nothing listens there
 
 
-@pytest.mark.parametrize("is_connected", [False, True], ids=["connecting", "connected"])
-@pytest.mark.parametrize("state", [WorkerState.DRAINING, WorkerState.REMOVED])
-def test_unsent_exchanges_of_a_worker_that_goes_are_returned(start_router, state, is_connected):
-    worker = FakeWorker(instances=None)
-    harness = start_router(worker)
-    pool = harness.pool
-    worker_id = worker.worker_id
-    if is_connected:
-        pool.ensure_instances(start_order(worker_id, []))
-        harness.run_until(lambda: worker.frames, "a connection is established")
-    frames_before = len(worker.frames)
-    results = []
-    pool.send(attempt(worker_id, results))
-    pool.ensure_instances(start_order(worker_id, results))
+@pytest.fixture
+def worker(worker):
+    """A worker that leaves requests, start orders and probes to the test."""
+    worker.instances = None
+    return worker
 
-    pool.update_endpoint(worker_id, None, state, 0.0)
 
-    assert results == [(CloseReason.DRAINING, False)] * 2
-    harness.round_trip(harness.connect_client())
-    assert len(worker.frames) == frames_before
+@pytest.fixture
+def pool(harness):
+    return harness.pool
 
 
-def test_draining_worker_gets_probes_but_no_new_work(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
-    pool = harness.pool
-    worker_id = worker.worker_id
-    results = []
-    pool.update_endpoint(worker_id, None, WorkerState.DRAINING, 0.0)
+@pytest.fixture
+def results():
+    """The results of the exchanges that the test sends."""
+    return []
 
-    pool.send(attempt(worker_id, results))
-    pool.ensure_instances(start_order(worker_id, results))
 
-    assert results == [(CloseReason.NOT_SENT, False)] * 2
+# --- workers of the endpoint list
 
-    pool.ensure_instances(start_order(worker_id, results, instances=0))
-    harness.run_until(lambda: len(results) == 3, "the probe is answered")
 
-    assert results[2] == (Outcome.OK, True)
+def test_worker_without_an_address_is_not_added(pool, worker):
+    pool.update_endpoint(UNLISTED_WORKER_ID, None, WorkerState.READY, 0.0)
 
+    assert list(pool.workers) == [worker.worker_id]
 
-def test_drain_in_the_endpoint_log_leaves_running_requests_alone(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
-    client = harness.run_request(worker)
 
-    harness.endpoint_log.send_line(endpoint_event(2, worker.record("terminating")))
-    harness.run_until(lambda: harness.router_process.endpoint_watch.last_sequence == 2, "the drain is read")
-    worker.answer(worker.requests[0], body=b"done")
-    harness.run_until(lambda: client.answers, "it is answered")
+def test_workers_at_an_address_are_those_that_are_not_removed(harness, pool, worker, results):
+    worker_id = worker.worker_id
+    harness.run_attempt(worker, results)  # which keeps the removed worker in the pool
+    pool.update_endpoint(UNLISTED_WORKER_ID, worker.address, WorkerState.DRAINING, 0.0)
+    assert pool.workers_at(worker.address) == [worker_id, UNLISTED_WORKER_ID]
 
-    assert client.answer_kinds() == {1: "answer"}
+    pool.update_endpoint(worker_id, None, WorkerState.REMOVED, 0.0)
 
+    assert pool.workers_at(worker.address) == [UNLISTED_WORKER_ID]
+    assert worker_id in pool.workers
 
-def test_new_worker_at_the_address_of_a_removed_one_gets_its_own_connections(start_router):
-    worker = FakeWorker(instances=None)
-    harness = start_router(worker)
-    pool = harness.pool
+
+def test_removed_worker_is_forgotten_once_its_last_exchange_is_finished(harness, pool, worker, results):
     worker_id = worker.worker_id
-    results = []
     harness.run_attempt(worker, results)
-    address = pool.workers[worker_id].address
 
     pool.update_endpoint(worker_id, None, WorkerState.REMOVED, 0.0)
-    pool.update_endpoint(77, address, WorkerState.READY, 0.0)
-    pool.send(attempt(77, results, exchange_id=b"abcdefgh"))
-    harness.run_until(lambda: len(worker.requests) == 2, "the new one runs it")
 
-    assert worker.requests[0].connection is not worker.requests[1].connection
-    assert results == []
+    assert list(pool.workers) == [worker_id]
 
+    worker.answer(worker.requests[0])
+    harness.run_until(lambda: results, "it is answered")
 
-def test_connection_established_after_its_worker_is_removed_is_closed(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
-    pool = harness.pool
-    worker_id = worker.worker_id
-    pool.send(attempt(worker_id, []))
-    [connection] = pool.workers[worker_id].connections
+    assert list(pool.workers) == []
 
-    pool.update_endpoint(worker_id, None, WorkerState.REMOVED, 0.0)
-    harness.run_until(lambda: connection.connection.is_connected, "it is established")
 
-    assert connection.connection.is_closed
-    assert not pool.workers
+def test_complete_list_removes_the_workers_that_it_does_not_name(pool, worker):
+    pool.update_endpoint(UNLISTED_WORKER_ID, OTHER_ADDRESS, WorkerState.READY, 0.0)
+    assert list(pool.workers) == [worker.worker_id, UNLISTED_WORKER_ID]
 
+    pool.remove_all_except({UNLISTED_WORKER_ID})
 
-def test_restart_retires_the_connections_to_the_process_before(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
-    pool = harness.pool
-    worker_id = worker.worker_id
-    results = []
-    harness.run_attempt(worker, results)
+    assert list(pool.workers) == [UNLISTED_WORKER_ID]
 
-    pool.update_endpoint(worker_id, None, WorkerState.READY, 5.0)
-    harness.run_attempt(worker, results, exchange_id=b"abcdefgh")
 
-    assert worker.requests[0].connection is not worker.requests[1].connection
+# --- exchanges
 
 
-@pytest.mark.parametrize("has_moved", [True, False], ids=["moved", "restarted"])
-def test_exchange_that_waits_for_a_connection_to_the_old_process_goes_to_the_new_one(
-    start_router, unreachable_address, has_moved
-):
-    worker = FakeWorker("s-9", instances=None)
-    harness = start_router()
-    harness.add_listener(worker)
-    pool = harness.pool
-    old_address = unreachable_address() if has_moved else worker.address
-    results = []
-    pool.update_endpoint(UNLISTED_WORKER_ID, old_address, WorkerState.READY, 0.0)
-    pool.send(attempt(UNLISTED_WORKER_ID, results))
-    [old_connection] = pool.workers[UNLISTED_WORKER_ID].connections
+def test_exchange_for_an_unknown_worker_is_not_sent(pool, results):
+    unknown = attempt(UNLISTED_WORKER_ID, results)
 
-    pool.update_endpoint(UNLISTED_WORKER_ID, worker.address, WorkerState.READY, 5.0)
-    old_connection.connection.close(CloseReason.CONNECT_TIMEOUT)
-    harness.run_until(lambda: worker.requests, "it runs")
+    pool.send(unknown)
 
-    assert results == []
+    assert results == [(CloseReason.NOT_SENT, False)]
+    assert unknown.not_sent_reason is NotSentReason.WORKER_UNKNOWN
 
 
-def test_connection_to_the_process_before_carries_nothing_new_once_established(start_router):
-    worker = FakeWorker("s-9", instances=None)
-    harness = start_router(worker)
-    pool = harness.pool
-    results = []
-    pool.update_endpoint(UNLISTED_WORKER_ID, worker.address, WorkerState.READY, 0.0)
-    pool.send(attempt(UNLISTED_WORKER_ID, results))
-    [old_connection] = pool.workers[UNLISTED_WORKER_ID].connections
+def test_attempt_past_its_deadline_is_not_sent(pool, worker, results):
+    late = attempt(worker.worker_id, results, within_ms=-1.0)
 
-    pool.update_endpoint(UNLISTED_WORKER_ID, None, WorkerState.READY, 5.0)
-    harness.run_until(lambda: worker.requests, "it runs")
+    pool.send(late)
 
-    assert old_connection.connection.is_closed
-    assert (len(worker.requests), results) == (1, [])
+    assert results == [(CloseReason.NOT_SENT, False)]
+    assert late.not_sent_reason is NotSentReason.DEADLINE_PASSED
 
 
-def test_exchanges_on_retired_connections_do_not_use_up_the_limit_of_the_new_process(start_router):
-    worker = FakeWorker("s-9", instances=None)
-    harness = start_router(worker, settings={"bounds": {"streams_per_conn": 1}})
-    pool = harness.pool
-    results = []
-    pool.update_endpoint(UNLISTED_WORKER_ID, worker.address, WorkerState.READY, 0.0)
-    for number in range(connection_set.MAX_CONNECTIONS):
-        pool.send(attempt(UNLISTED_WORKER_ID, results, exchange_id=b"%08d" % number))
-        harness.run_until(lambda number=number: len(worker.requests) > number, "it runs")
+def test_start_orders_have_ids_of_their_own(harness, pool, worker):
+    for _ in range(3):
+        pool.ensure_instances(start_order(worker.worker_id, []))
+    harness.run_until(lambda: len(worker.frames) == 3, "all arrive")
 
-    pool.update_endpoint(UNLISTED_WORKER_ID, None, WorkerState.READY, 5.0)
-    pool.send(attempt(UNLISTED_WORKER_ID, results, exchange_id=b"abcdefgh"))
-    harness.run_until(
-        lambda: len(worker.requests) > connection_set.MAX_CONNECTIONS or results, "the next one runs"
-    )
+    ids = {frame.exchange_id for _, frame in worker.received(worker_frames.ENSURE_INSTANCES)}
+
+    assert len(ids) == 3
+
+
+def test_exchange_is_cancelled_as_unsent_only_before_its_first_byte(harness, pool, worker, results):
+    started = attempt(worker.worker_id, results)
+    unsent = attempt(worker.worker_id, results, exchange_id=b"abcdefgh")
+    pool.send(started)
+    harness.run_until(lambda: worker.requests, "it runs")
+    pool.send(unsent)
+
+    pool.cancel_if_unsent(started)
+    pool.cancel_if_unsent(unsent)
 
-    assert results == []
+    assert results == [(CloseReason.NOT_SENT, False)]
+    assert unsent.not_sent_reason is NotSentReason.REQUEST_FINISHED
+    assert not started.is_done
 
 
 # --- timeouts
 
 
-def test_attempts_start_orders_and_connects_time_out(start_router, unreachable_address):
-    worker = FakeWorker(instances=None)
-    harness = start_router(worker)
-    pool = harness.pool
+def test_attempts_start_orders_and_connects_time_out(harness, pool, worker, results, unreachable_address):
     worker_id = worker.worker_id
-    results = []
     pool.ensure_instances(start_order(worker_id, [], instances=0))
     harness.run_until(lambda: worker.frames, "a connection is established")
     resources = pool._resources
@@ -198,10 +145,10 @@
     assert results == [(CloseReason.DEADLINE_EXCEEDED, True)] * 2 + [(CloseReason.CONNECT_TIMEOUT, False)]
 
 
-def test_idle_connections_are_closed_and_those_in_use_stay(start_router):
-    busy, idle = FakeWorker("s-1", instances=None), FakeWorker("s-2")
+def test_idle_connections_are_closed_and_those_in_use_stay(start_router, results):
+    busy = FakeWorker("s-1", instances=None)
+    idle = FakeWorker("s-2")
     harness = start_router(busy, idle, settings={"bounds": {"keepalive": 0.0}})
-    results = []
     for worker in (busy, idle):
         harness.pool.ensure_instances(start_order(worker.worker_id, results))
     harness.run_until(lambda: results and busy.frames, "one is answered")
