--- a/function_router/net/acceptor.py
+++ b/function_router/net/acceptor.py
@@ -16,7 +16,7 @@
 
 # Connections that the system keeps until they are accepted.
 BACKLOG = 1024
-# In one turn of the event loop.
+# Connections that are accepted in one turn of the event loop.
 MAX_ACCEPTS_PER_TURN = 64
 # Until the next try, where no file descriptor was left.
 ACCEPT_PAUSE_MS = 50.0
@@ -33,18 +33,14 @@
 class AcceptorOwner(Protocol):
     """Whoever serves the accepted sockets."""
 
-    def make_room(self, reserved: int, /) -> bool:
-        """Close idle connections where there are too many for another one besides `reserved` ones.
-
-        Returns:
-            Whether another connection may be accepted.
-        """
+    def ensure_capacity(self, reserved: int, /) -> bool:
+        """Whether another connection may be accepted besides `reserved` ones; closes idle ones for it."""
 
     def serve(self, accepted: AcceptedSocket, /) -> None:
         """Serve an accepted socket, and own it from now on.
 
         Raises:
-            OSError: where that is not possible now; the socket stays open.
+            OSError: Where that is not possible now; the socket stays open.
         """
 
 
@@ -52,8 +48,8 @@
     """Owns the listening socket, and accepted sockets until they can be served.
 
     Attributes:
-        address: host and port on which it listens.
-        is_paused: whether new connections are left to the system's queue for a moment.
+        address: Host and port on which it listens.
+        is_paused: Whether new connections are left to the system's queue for a moment.
     """
 
     def __init__(
@@ -70,7 +66,7 @@
         request of those just accepted can then be read before others need their capacity.
 
         Raises:
-            OSError: where it can't listen at this address.
+            OSError: Where it can't listen at this address.
         """
         self._loop = loop
         self._owner = owner
@@ -79,7 +75,7 @@
         self._listener: socket.socket | None = _listen(address)
         self.address: Address = self._listener.getsockname()[:2]
         self.is_paused = False
-        self._unread_since = UnreadSince(loop, monotonic_ms())  # clients that are not accepted yet
+        self._unread_since = UnreadSince(loop, monotonic_ms())  # of clients that are not accepted yet
         self._not_served: list[AcceptedSocket] = []  # to be served after the pause
         loop.register(self._listener, READ, self._on_readable)
 
@@ -88,11 +84,11 @@
         self.accept_waiting()
 
     def accept_waiting(self) -> None:
-        """Accept the connections that wait, as far as the limits allow."""
+        """Accept the connections in the system's queue, as far as the limits allow."""
         for _ in range(self._max_accepts_per_turn):
             if self._listener is None:
                 return
-            if not self._owner.make_room(len(self._not_served)):
+            if not self._owner.ensure_capacity(len(self._not_served)):
                 self._pause()
                 return
             if not self._accept_one(self._listener):
--- a/function_router/net/client_listener.py
+++ b/function_router/net/client_listener.py
@@ -10,7 +10,7 @@
 from function_router.net.request_table import RequestTable
 from function_router.net.telemetry import CLIENTS_CLOSED, Telemetry
 
-# Younger connections that have sent nothing yet may be about to: older ones are closed first.
+# Connections that are younger and have sent nothing yet may be about to; older ones are closed first.
 FIRST_MESSAGE_GRACE_MS = 250.0
 
 
@@ -18,13 +18,13 @@
     """Listens for clients and owns their connections, within a share of the file descriptors.
 
     Attributes:
-        loop: the event loop that all connections share.
-        table: the request table, which admits the clients' requests.
-        telemetry: the log, the counters and the run-time checks.
-        classes: the request classes by name.
-        tenants: names of the tenants that may send requests; empty where any may.
-        is_ready: the answer to status requests.
-        connections: the open client connections, oldest first; the values mean nothing.
+        loop: The event loop that all connections share.
+        table: The request table, which admits the clients' requests.
+        telemetry: The log, the counters and the run-time checks.
+        classes: The request classes by name.
+        tenants: Names of the tenants that may send requests; empty where any may.
+        is_ready: The answer to status requests.
+        connections: The open client connections, oldest first; the values mean nothing.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         """Start to listen at an address, for at most `max_connections` clients at once.
 
         Raises:
-            OSError: where it can't listen at this address.
+            OSError: Where it can't listen at this address.
         """
         self.loop = loop
         self.table = table
@@ -63,26 +63,21 @@
         """Serve an accepted socket.
 
         Raises:
-            OSError: where the event loop can't watch it now.
+            OSError: Where the event loop can't watch it now.
         """
         client = ClientConnection(self, accepted.sock, accepted.connected_since_ms)
         self.connections[client] = None
 
-    def make_room(self, reserved: int) -> bool:
-        """Close idle connections where there are too many for another one besides `reserved` ones.
-
-        Returns:
-            Whether another connection may be accepted.
-        """
+    def ensure_capacity(self, reserved: int) -> bool:
+        """Whether another connection may be accepted besides `reserved` ones; closes idle ones for it."""
         is_full = len(self.connections) + reserved >= self._max_connections
         return not is_full or self._evict_idle()
 
     def _evict_idle(self) -> bool:
         """Close connections without pending requests; whether any was closed.
 
-        All that have had time enough for a first message and sent nothing are closed; where there is none,
-        the first one in the order of eviction. Those with something unread are about to send a request: they
-        stay.
+        All that had enough time for a first message and sent nothing are closed. Where there is none, the
+        first one in the order of eviction is. Those with unread data are about to send a request, and stay.
         """
         idle = [client for client in self.connections if client.is_idle()]
         grace_start_ms = monotonic_ms() - FIRST_MESSAGE_GRACE_MS
@@ -100,15 +95,15 @@
     # --- the connections ------------------------------------------------------------------------
 
     def unread_bytes(self) -> int:
-        """Bytes of answers that wait to be written, of all clients."""
+        """Bytes of answers to all clients that have yet to be written."""
         return sum(client.connection.pending_bytes for client in self.connections)
 
-    def has_unwritten(self) -> bool:
-        """Whether an answer to any client waits to be written."""
+    def has_unwritten_answers(self) -> bool:
+        """Whether an answer to any client has yet to be written."""
         return self.unread_bytes() > 0
 
-    def has_arriving(self) -> bool:
-        """Whether anything of a client is unread, also on connections that are yet to be accepted."""
+    def has_unread_data(self) -> bool:
+        """Whether anything that a client sent is unread, also on connections that are yet to be accepted."""
         if not self._acceptor.is_paused:
             self._acceptor.accept_waiting()
         return self._acceptor.is_paused or any(client.has_unread_data() for client in self.connections)
--- a/function_router/net/drain.py
+++ b/function_router/net/drain.py
@@ -68,4 +68,5 @@
 
         A client counts a request as accepted once its connection is, even before it is read here.
         """
-        return bool(self._table.pending) or self._listener.has_unwritten() or self._listener.has_arriving()
+        listener = self._listener
+        return bool(self._table.pending) or listener.has_unwritten_answers() or listener.has_unread_data()
