--- a/function_router/net/attempt_report.py
+++ b/function_router/net/attempt_report.py
@@ -24,9 +24,9 @@
         """Convert the result of an attempt.
 
         Args:
-            attempt: the attempt, which has ended.
-            result: the worker's answer, or why there is none.
-            reports_in_flight: whether answers of workers say how many requests were in flight.
+            attempt: The attempt, which has ended.
+            result: The worker's answer, or why there is none.
+            reports_in_flight: Whether answers of workers say how many requests were in flight.
         """
         if not isinstance(result, Answer):
             outcome = outcome_of(result, is_started=attempt.is_started)
--- a/function_router/net/attempts_in_flight.py
+++ b/function_router/net/attempts_in_flight.py
@@ -24,15 +24,15 @@
     Attempts of finished requests are among them: the decision module may still cancel those.
 
     Args:
-        loop: takes the events for the decision module.
-        pool: sends the attempts.
-        wire: says what workers report.
-        classes: the request classes by name.
-        requests: the pending requests.
-        on_served: called with a request's key and its answer once a worker has served it.
+        loop: Takes the events for the decision module.
+        pool: Sends the attempts.
+        wire: Says what workers report.
+        classes: The request classes by name.
+        requests: The pending requests.
+        on_served: Called with a request's key and its answer once a worker has served it.
 
     Attributes:
-        by_key: the attempts by their request's key and their number, oldest first.
+        by_key: The attempts by their request's key and their number, oldest first.
     """
 
     __slots__ = ("_classes", "_loop", "_on_served", "_pool", "_requests", "_wire", "by_key")
--- a/function_router/net/client_connection.py
+++ b/function_router/net/client_connection.py
@@ -11,13 +11,13 @@
 from function_router.net.invariants import Invariant
 from function_router.net.sockets import MAY_HOLD_DATA
 
-# The client ended the connection, or does not read its answers: nobody is owed one.
+# The client closed the connection or does not read its answers, so that nobody waits for one.
 CLOSED_BY_CLIENT = (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER, CloseReason.WRITE_BUFFER_FULL)
 
-# Clients close after 4 s without a request; one that is still connected after this would stay for good.
+# Clients close after 4 s without a request; a connection that is idle for this long would never be closed.
 IDLE_TIMEOUT_MS = 30_000.0
-# Bytes that can have waited for longer came while the process was stalled: the messages of one read may then
-# differ in age. Otherwise they count as equally old.
+# Bytes that can have been unread for longer arrived while the process was stalled. The messages of one read
+# may then differ in age; otherwise they count as equally old.
 MIN_STALL_MS = 100.0
 
 # A client with more bytes of unread answers is not read from.
@@ -32,13 +32,13 @@
     """Whoever accepted the connections of clients, and is notified when they close.
 
     Attributes:
-        loop: the event loop that serves the connections.
+        loop: The event loop that serves the connections.
     """
 
     loop: EventLoop
 
     def unread_bytes(self) -> int:
-        """Bytes of answers that wait to be written, of all clients."""
+        """Bytes of answers to all clients that have yet to be written."""
 
     def on_client_closed(self, client: "ClientConnection", reason: CloseReason, /) -> None:
         """The connection is closed."""
@@ -48,9 +48,9 @@
     """One client connection, which passes the client's messages on to its session.
 
     Attributes:
-        connection: the TCP connection.
-        messages: reads the messages.
-        session: handles the messages; has the pending requests.
+        connection: The TCP connection.
+        messages: Reads the messages.
+        session: Handles the messages; has the pending requests.
     """
 
     __slots__ = ("__weakref__", "_owner", "connection", "messages", "session")
@@ -100,7 +100,7 @@
             self.connection.close(CloseReason.WRITE_BUFFER_FULL)
 
     def on_write_delayed(self) -> None:
-        """Do nothing: answers are written however late."""
+        """Do nothing: an answer is written even if that is late."""
 
     def on_closed(self, reason: CloseReason) -> None:
         """Cancel the pending requests; nobody waits for their answers."""
@@ -123,7 +123,7 @@
             self._close_overdue()
 
     def _close_overdue(self) -> None:
-        if self.messages.has_received_message or self.messages.has_partial_message:
+        if self.messages.has_received_data:
             self.session.finish(CloseReason.READ_TIMEOUT)
         else:
             self.close_unless_data_arrived()
@@ -144,14 +144,10 @@
 
     def is_silent_since(self, time_ms: float) -> bool:
         """Whether it has sent no byte yet and connected before this time."""
-        return (
-            not self.messages.has_received_message
-            and not self.messages.has_partial_message
-            and self.connection.last_used_ms < time_ms
-        )
+        return not self.messages.has_received_data and self.connection.last_used_ms < time_ms
 
     def has_unread_data(self) -> bool:
-        """Whether something that the client sent is unread, or part of an incomplete message."""
+        """Whether the client has sent something that is unread, or a part of a message."""
         return not self.connection.is_finishing and (
             self.messages.has_partial_message or self.connection.peek() in MAY_HOLD_DATA
         )
@@ -159,8 +155,8 @@
     def eviction_order(self) -> tuple[bool, bool, float]:
         """Sort key of idle connections: the first one is closed first where there are too many.
 
-        First come those that are being closed already, then those without an incomplete message, then those
-        that have been idle for longest.
+        The order is: connections that are being closed already, those without an incomplete message, and the
+        others; within each group, those that have been idle for longest.
         """
         return (
             not self.connection.is_finishing,
--- a/function_router/net/client_messages.py
+++ b/function_router/net/client_messages.py
@@ -3,18 +3,18 @@
 from function_router.net.clock import monotonic_ms
 from function_router.net.codecs import thrift
 
-# A client is owed an answer or a close within 3 s of connecting; what it sends takes a round trip.
+# A client has to get an answer or a close within 3 s of connecting.
 
 # For the first message, and for the rest of one that has begun.
 MESSAGE_TIMEOUT_MS = 2_300.0
-# From one chunk of a message to the next; with the message timeout it makes up the 3 s.
+# From one chunk of a message to the next. Together with the message timeout this is 3 s.
 CHUNK_TIMEOUT_MS = 700.0
-# A message of which so many chunks have come may take the message timeout until the next one: clients that
-# stop halfway send fewer.
+# After so many chunks of a message, the next one may take as long as the message timeout: clients that stop
+# halfway send fewer.
 MIN_STEADY_CHUNKS = 3
-# For a whole message, however steadily its chunks come.
+# For a whole message, even if its chunks arrive steadily.
 MAX_MESSAGE_MS = 30_000.0
-# For the rest of an oversized message, which was answered with an exception when its head came.
+# For the rest of an oversized message, which was answered with an exception when its head had arrived.
 SKIP_TIMEOUT_MS = 6_000.0
 
 
@@ -24,7 +24,7 @@
     Without the time limits, clients that send nothing or half a message would use up the file descriptors.
 
     Attributes:
-        has_received_message: whether a complete message, valid or not, has come.
+        has_received_message: Whether a complete message, valid or not, has arrived.
     """
 
     __slots__ = ("_chunk_count", "_frames", "_waiting_since_ms", "has_received_message")
@@ -41,6 +41,11 @@
         """Whether a message has begun and is not complete yet."""
         return self._frames.has_partial_frame
 
+    @property
+    def has_received_data(self) -> bool:
+        """Whether the client has sent anything."""
+        return self.has_received_message or self._frames.has_partial_frame
+
     def feed(self, data: bytes) -> list[thrift.Message | thrift.MalformedMessageError]:
         """Add bytes; return the messages that are complete now, in order, or errors in their places."""
         had_partial_message = self._frames.has_partial_frame
@@ -58,8 +63,8 @@
         """Whether the first message, or the rest of one that has begun, has taken too long.
 
         Args:
-            now_ms: the time on the monotonic clock.
-            last_received_ms: when bytes were last received.
+            now_ms: The time on the monotonic clock.
+            last_received_ms: When bytes were last received.
         """
         has_partial_message = self._frames.has_partial_frame
         if self.has_received_message and not has_partial_message:
--- a/function_router/net/client_request.py
+++ b/function_router/net/client_request.py
@@ -24,7 +24,7 @@
     """The request was not served, and the client may safely send it again.
 
     Attributes:
-        retry_after_ms: how long the client should wait before that; 0 where there is no advice.
+        retry_after_ms: How long the client should wait before that; 0 where there is no advice.
     """
 
     retry_after_ms: float
@@ -46,16 +46,16 @@
     """What a client asks for: to have a function run.
 
     Attributes:
-        request_id: the client's own id of the request, eight bytes; unique among pending requests.
-        class_name: name of the request class.
-        tenant: name of the tenant; empty where none was given and none is required.
-        function: name of the function, 16 hexadecimal digits.
-        timeout_ms: how long the client waits for the answer.
-        body: what the function is to be run on.
-        idempotency_key: names the request to workers that drop repeats; empty where there is none.
-        concurrency: requests that one instance of the function may run at once.
-        memory_mb: memory that one instance takes; None where the client does not say.
-        expected_start_ms: how long an instance takes to start; None where the client does not say.
+        request_id: The client's own id of the request, eight bytes; unique among pending requests.
+        class_name: Name of the request class.
+        tenant: Name of the tenant; empty where none was given and none is required.
+        function: Name of the function, 16 hexadecimal digits.
+        timeout_ms: How long the client waits for the answer.
+        body: What the function is to be run on.
+        idempotency_key: Names the request to workers that drop repeats; empty where there is none.
+        concurrency: Requests that one instance of the function may run at once.
+        memory_mb: Memory that one instance takes; None where the client does not say.
+        expected_start_ms: How long an instance takes to start; None where the client does not say.
     """
 
     request_id: bytes
@@ -75,10 +75,10 @@
     """An invocation that has been read, and how to answer it.
 
     Attributes:
-        invocation: what the client asks for.
-        age_ms: how long the last bytes of the request were unread.
-        reply: sends the answer to the client; to be called once.
-        is_client_connected: whether the client still waits. A client that has disconnected may be found by
+        invocation: What the client asks for.
+        age_ms: How long the last bytes of the request were unread.
+        reply: Sends the answer to the client; to be called once.
+        is_client_connected: Whether the client still waits. A client that has disconnected may be found by
             this call, which then closes its connection.
     """
 
--- a/function_router/net/client_session.py
+++ b/function_router/net/client_session.py
@@ -34,11 +34,11 @@
     """What the sessions of all clients share.
 
     Attributes:
-        table: admits the requests.
-        telemetry: the log, the counters and the run-time checks.
-        classes: the request classes by name.
-        tenants: names of the tenants that may send requests; empty where any may.
-        is_ready: the answer to status requests.
+        table: Admits the requests.
+        telemetry: The log, the counters and the run-time checks.
+        classes: The request classes by name.
+        tenants: Names of the tenants that may send requests; empty where any may.
+        is_ready: The answer to status requests.
     """
 
     table: RequestTable
@@ -52,7 +52,7 @@
     """Handles the messages of one client, and answers each of its requests once.
 
     Attributes:
-        pending: keys of the pending requests in the request table, by sequence number.
+        pending: Keys of the pending requests in the request table, by sequence number.
     """
 
     __slots__ = ("_connection", "_service", "pending")
@@ -130,7 +130,7 @@
         """Parse a request, and check it against the pending ones.
 
         Raises:
-            MalformedMessageError: where the request can't be admitted as it is.
+            MalformedMessageError: Where the request can't be admitted as it is.
         """
         if message.seqid in self.pending:
             reason = "a second request under an open number"
--- a/function_router/net/codecs/thrift_protocol.py
+++ b/function_router/net/codecs/thrift_protocol.py
@@ -61,9 +61,9 @@
     """A frame that is no valid message, or a message that asks for what the service does not offer.
 
     Attributes:
-        seqid: sequence number of the message; None where it can't be read.
-        kind: the kind of application exception that answers it.
-        method: the method that was called, as far as that could be read.
+        seqid: Sequence number of the message; None where it can't be read.
+        kind: The kind of application exception that answers it.
+        method: The method that was called, as far as that could be read.
     """
 
     def __init__(self, text: str, seqid: int | None = None, kind: int = PROTOCOL_ERROR) -> None:
@@ -89,7 +89,7 @@
     """The client no longer wants the answer to a request.
 
     Attributes:
-        seqid: sequence number of the request that is withdrawn.
+        seqid: Sequence number of the request that is withdrawn.
     """
 
     seqid: int
--- a/function_router/net/codecs/thrift_reader.py
+++ b/function_router/net/codecs/thrift_reader.py
@@ -132,8 +132,8 @@
     """Parse the head of a message.
 
     Raises:
-        TruncatedMessageError: where the data ends before the head does.
-        MalformedMessageError: where it is not a head of the strict binary protocol.
+        TruncatedMessageError: Where the data ends before the head does.
+        MalformedMessageError: Where it is not a head of the strict binary protocol.
     """
     try:
         return _parse_head(data)
--- a/function_router/net/event_loop.py
+++ b/function_router/net/event_loop.py
@@ -41,24 +41,24 @@
     """Owns the selector, the timers and the events gathered for the next batch.
 
     Attributes:
-        timers: the timer wheel, which each turn advances.
-        clock: the decision module's clock.
+        timers: The timer wheel, which each turn advances.
+        clock: The decision module's clock.
         running: `run` returns at the end of the turn in which this becomes False.
-        turn_started_ms: when the current turn's poll returned, on the monotonic clock. Whatever happens in a
+        turn_started_ms: When the current turn's poll returned, on the monotonic clock. Whatever happens in a
             turn counts as of then, even if the process stalls during the turn.
-        turn_started_unix_ms: the same moment on the wall clock.
-        previous_poll_ms: when the poll before the last one began, on the monotonic clock. What that poll did
+        turn_started_unix_ms: The same moment on the wall clock.
+        previous_poll_ms: When the poll before the last one began, on the monotonic clock. What that poll did
             not report arrived later.
-        wall_clock_step_ms: by how much the wall clock was set between the last two polls.
-        poll_count: how often the sockets were polled since the start.
+        wall_clock_step_ms: By how much the wall clock was set between the last two polls.
+        poll_count: How often the sockets were polled since the start.
     """
 
     def __init__(self, decide: Callable[[float, list[Event]], None], log: Callable[[str], None]) -> None:
         """Create a loop without sockets.
 
         Args:
-            decide: called with the time on `clock` and all events of a turn.
-            log: called with the text of a line.
+            decide: Called with the time on `clock` and all events of a turn.
+            log: Called with the text of a line.
         """
         self.timers = TimerWheel()
         self.clock = Clock()
--- a/function_router/net/pending_request.py
+++ b/function_router/net/pending_request.py
@@ -16,15 +16,15 @@
     """A request that has no final answer yet.
 
     Attributes:
-        key: identifies the request within this router.
-        client_request: the client's request, and how to answer it.
-        deadline_ms: by when it has to be answered, on the monotonic clock.
-        deadline_timer: fires at the deadline.
-        attempt_count: how many attempts were sent; the decision module numbers them in the same order.
-        first_run_at_ms: when the earliest ended attempt that may have run was created, on the monotonic
+        key: Identifies the request within this router.
+        client_request: The client's request, and how to answer it.
+        deadline_ms: By when it has to be answered, on the monotonic clock.
+        deadline_timer: Fires at the deadline.
+        attempt_count: How many attempts were sent; the decision module numbers them in the same order.
+        first_run_at_ms: When the earliest ended attempt that may have run was created, on the monotonic
             clock; infinite where there is none.
-        admitted_at_ms: when it was admitted, on the monotonic clock.
-        trace: what happened to it, for the log.
+        admitted_at_ms: When it was admitted, on the monotonic clock.
+        trace: What happened to it, for the log.
     """
 
     key: str
--- a/function_router/net/pending_requests.py
+++ b/function_router/net/pending_requests.py
@@ -11,7 +11,7 @@
     """The requests that have no final answer yet.
 
     Attributes:
-        by_key: the requests by key, oldest first.
+        by_key: The requests by key, oldest first.
     """
 
     __slots__ = ("_body_bytes", "_keys_by_client_id", "_max_requests", "by_key")
--- a/function_router/net/receive_timestamps.py
+++ b/function_router/net/receive_timestamps.py
@@ -35,10 +35,10 @@
     The timestamp is taken from the wall clock, which may have been set in between.
 
     Args:
-        ancillary: the ancillary messages that recvmsg(2) returned.
-        read_at_unix_ms: the time of the read on the wall clock.
-        wall_clock_step_ms: by how much the wall clock was set between the last two polls of the sockets.
-        max_delay_ms: upper limit on the delay, from the monotonic clock.
+        ancillary: The ancillary messages that recvmsg(2) returned.
+        read_at_unix_ms: The time of the read on the wall clock.
+        wall_clock_step_ms: By how much the wall clock was set between the last two polls of the sockets.
+        max_delay_ms: Upper limit on the delay, from the monotonic clock.
     """
     for level, kind, data in ancillary:
         if (level, kind, len(data)) == (socket.SOL_SOCKET, SO_TIMESTAMPNS, _TIMESPEC.size):
--- a/function_router/net/request_parser.py
+++ b/function_router/net/request_parser.py
@@ -49,12 +49,12 @@
     """Parse and check the fields of a request.
 
     Args:
-        message: the client's message.
-        classes: the request classes by name.
-        tenants: names of the tenants that may send requests; where it is empty, any tenant or none may.
+        message: The client's message.
+        classes: The request classes by name.
+        tenants: Names of the tenants that may send requests; where it is empty, any tenant or none may.
 
     Raises:
-        InvalidFieldError: where a field is missing or has a value that can't be passed to a worker.
+        InvalidFieldError: Where a field is missing or has a value that can't be passed to a worker.
     """
     fields = message.fields
     request_class = _parse_class(fields, classes)
--- a/function_router/net/request_table.py
+++ b/function_router/net/request_table.py
@@ -40,15 +40,15 @@
     """Owns every pending request, and makes sure that each gets exactly one final answer.
 
     Args:
-        loop: the event loop, for deadline timers and the events for the decision module.
-        pool: sends attempts and start orders.
-        wire: limits on pending requests and on what workers and clients are sent.
-        classes: the request classes by name.
-        revalidate_start_order: see `function_router.net.start_orders.RevalidateStartOrder`.
-        telemetry: the log, the counters and the run-time checks.
+        loop: The event loop, for deadline timers and the events for the decision module.
+        pool: Sends attempts and start orders.
+        wire: Limits on pending requests and on what workers and clients are sent.
+        classes: The request classes by name.
+        revalidate_start_order: See `function_router.net.start_orders.RevalidateStartOrder`.
+        telemetry: The log, the counters and the run-time checks.
 
     Attributes:
-        attempts: the attempts in flight.
+        attempts: The attempts in flight.
     """
 
     def __init__(
--- a/function_router/net/signal_wakeup.py
+++ b/function_router/net/signal_wakeup.py
@@ -17,7 +17,7 @@
     is received as soon as it is unblocked here.
 
     Attributes:
-        sock: readable while signals wait to be handled.
+        sock: Readable while signals wait to be handled.
     """
 
     def __init__(self, handlers: Mapping[int, Callable[[], None]]) -> None:
--- a/function_router/net/socket_reader.py
+++ b/function_router/net/socket_reader.py
@@ -16,8 +16,8 @@
     """Reads from one socket, which the connection that uses this owns.
 
     Attributes:
-        receive_delay_ms: for how long the last byte that was received had been unread when the turn began.
-        max_receive_delay_ms: the longest time for which the first bytes of that read can have been unread.
+        receive_delay_ms: For how long the last byte that was received had been unread when the turn began.
+        max_receive_delay_ms: The longest time for which the first bytes of that read can have been unread.
     """
 
     __slots__ = ("_loop", "_sock", "_unread_since", "max_receive_delay_ms", "receive_delay_ms")
--- a/function_router/net/socket_writer.py
+++ b/function_router/net/socket_writer.py
@@ -12,9 +12,9 @@
     """Writes to one socket, which the connection that uses this owns.
 
     Attributes:
-        queue: what has yet to be written.
-        is_blocked: whether the last write was partial, as the socket's buffer was full.
-        last_write_ms: when the last write began, on the monotonic clock.
+        queue: What has yet to be written.
+        is_blocked: Whether the last write was partial, as the socket's buffer was full.
+        last_write_ms: When the last write began, on the monotonic clock.
     """
 
     __slots__ = ("_sock", "is_blocked", "last_write_ms", "queue")
--- a/function_router/net/sockets.py
+++ b/function_router/net/sockets.py
@@ -39,7 +39,7 @@
     """Create a socket that is connecting, or connected already.
 
     Raises:
-        OSError: where connecting fails at once.
+        OSError: Where connecting fails at once.
     """
     sock = socket.socket(address_family(address), socket.SOCK_STREAM)
     try:
--- a/function_router/net/timer_wheel.py
+++ b/function_router/net/timer_wheel.py
@@ -35,7 +35,7 @@
     """Timers that never fire early, and at most one tick late.
 
     Attributes:
-        on_exception: called while an exception of a callback is being handled, with a description of where
+        on_exception: Called while an exception of a callback is being handled, with a description of where
             it was raised.
     """
 
--- a/function_router/net/transient_errors.py
+++ b/function_router/net/transient_errors.py
@@ -35,13 +35,13 @@
     """Call an operation of the start-up, and again while it fails with one of START_ERRORS.
 
     Args:
-        operation: the operation; its result is returned.
-        read_monotonic_s: reads the monotonic clock, in seconds.
-        sleep: waits for a time in seconds.
+        operation: The operation; its result is returned.
+        read_monotonic_s: Reads the monotonic clock, in seconds.
+        sleep: Waits for a time in seconds.
 
     Raises:
-        OSError: where the operation failed with another error, or for START_RETRY_S.
-        UnreadableFileError: the same, where the operation reads a file.
+        OSError: Where the operation failed with another error, or for START_RETRY_S.
+        UnreadableFileError: The same, where the operation reads a file.
     """
     give_up_at_s = read_monotonic_s() + START_RETRY_S
     while True:
--- a/function_router/net/write_queue.py
+++ b/function_router/net/write_queue.py
@@ -20,7 +20,7 @@
     """Writes in the order in which they were queued; the first one may be written in part.
 
     Attributes:
-        pending_bytes: how many bytes are queued and not written yet.
+        pending_bytes: How many bytes are queued and not written yet.
     """
 
     __slots__ = ("_writes", "pending_bytes")
