--- a/tests/net/test_decision_host.py
+++ b/tests/net/test_decision_host.py
@@ -4,7 +4,6 @@
 from unittest import mock
 
 import pytest
-from helpers.fake_worker import FakeWorker
 from helpers.sockets import wait_readable
 
 from function_router.decisions import actions
@@ -23,12 +22,6 @@
 ]
 
 
-@pytest.fixture
-def harness(start_router):
-    """A router without workers."""
-    return start_router()
-
-
 def handle_with_actions(harness, *decided):
     """Run a turn in which the decisions return these actions."""
     process = harness.router_process
@@ -102,12 +95,8 @@
     assert any("unhandled exception in the decisions" in line for line in harness.log_lines)
 
 
-def test_what_was_decided_before_an_exception_of_the_decisions_is_carried_out(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
+def test_what_was_decided_before_an_exception_of_the_decisions_is_carried_out(harness, worker, client):
     process = harness.router_process
-    client = harness.connect_client()
-    harness.round_trip(client)
     client.send_request()
     harness.run_until(lambda: worker.requests, "the first request runs")
     worker.answer(worker.requests[0])
--- a/tests/net/test_drain.py
+++ b/tests/net/test_drain.py
@@ -14,26 +14,6 @@
 from function_router.net.reload import ConfigurationReload
 
 
-@pytest.fixture
-def worker():
-    """The one worker of the router, which closes it."""
-    return FakeWorker()
-
-
-@pytest.fixture
-def harness(start_router, worker):
-    """A router that knows the worker."""
-    return start_router(worker)
-
-
-@pytest.fixture
-def client(harness):
-    """A client that has made a round trip."""
-    connected = harness.connect_client()
-    harness.round_trip(connected)
-    return connected
-
-
 def drain_past_late_arrivals(harness):
     """Drain the router, and make the check that follows the time for late arrivals."""
     process_drain = harness.router_process.drain
@@ -143,8 +123,7 @@
     reload = ConfigurationReload(
         process.config, lambda: new_config, process.loop, process.endpoint_watch, process.log
     )
-    client = harness.connect_client()
-    harness.round_trip(client)
+    client = harness.connect_accepted_client()
     client.send_request()
     harness.run_until(lambda: harness.table.pending, "the request is admitted")
 
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -40,7 +40,7 @@
         self.addresses = {key: at for key, at in self.addresses.items() if key in worker_ids}
 
 
-class Harness:
+class RegistryHarness:
     """A registry with a fake pool, and the changes that it passes on."""
 
     def __init__(self):
@@ -60,9 +60,9 @@
 
 
 @pytest.fixture
-def harness():
+def registry_harness():
     """A registry without endpoints."""
-    return Harness()
+    return RegistryHarness()
 
 
 def record(name, phase="in_service", host_port=HOST_PORT, **fields):
@@ -97,52 +97,52 @@
     assert converted.endpoint.started_at_ms is None
 
 
-def test_list_with_an_invalid_address_changes_nothing(harness):
+def test_list_with_an_invalid_address_changes_nothing(registry_harness):
     with pytest.raises(ConfigurationError, match="host_port"):
-        harness.apply(record("s-1"), record("s-2", host_port="here"), complete=True)
+        registry_harness.apply(record("s-1"), record("s-2", host_port="here"), complete=True)
 
-    assert harness.pool.updates == []
-    assert harness.pool.kept is None
-    assert harness.changes == []
+    assert registry_harness.pool.updates == []
+    assert registry_harness.pool.kept is None
+    assert registry_harness.changes == []
 
 
-def test_complete_list_removes_the_workers_that_it_leaves_out(harness):
-    harness.apply(record("s-1"))
+def test_complete_list_removes_the_workers_that_it_leaves_out(registry_harness):
+    registry_harness.apply(record("s-1"))
 
-    changed = harness.apply(record("s-2", host_port="127.0.0.1:4001"), complete=True)
+    changed = registry_harness.apply(record("s-2", host_port="127.0.0.1:4001"), complete=True)
 
-    assert harness.pool.kept == {worker_id_of("s-2")}
+    assert registry_harness.pool.kept == {worker_id_of("s-2")}
     assert changed == [(worker_id_of("s-2"), WorkerState.READY)]
-    assert harness.changes[-1].is_complete
+    assert registry_harness.changes[-1].is_complete
 
 
-def test_later_worker_displaces_the_earlier_one_at_its_address(harness):
+def test_later_worker_displaces_the_earlier_one_at_its_address(registry_harness):
     old = worker_id_of("s-1")
     new = worker_id_of("s-2")
-    harness.apply(record("s-1", up_since_ms=1.0))
+    registry_harness.apply(record("s-1", up_since_ms=1.0))
 
-    changed = harness.apply(record("s-2", up_since_ms=2.0))
+    changed = registry_harness.apply(record("s-2", up_since_ms=2.0))
 
     assert changed == [(old, WorkerState.REMOVED), (new, WorkerState.READY)]
-    assert harness.pool.updates[-2:] == [
+    assert registry_harness.pool.updates[-2:] == [
         (old, None, WorkerState.REMOVED, 0.0),
         (new, ADDRESS, WorkerState.READY, 2.0),
     ]
 
 
-def test_earlier_worker_at_the_address_of_a_later_one_counts_as_removed(harness):
-    harness.apply(record("s-2", up_since_ms=2.0))
+def test_earlier_worker_at_the_address_of_a_later_one_counts_as_removed(registry_harness):
+    registry_harness.apply(record("s-2", up_since_ms=2.0))
 
-    changed = harness.apply(record("s-1", up_since_ms=1.0))
+    changed = registry_harness.apply(record("s-1", up_since_ms=1.0))
 
     assert changed == [(worker_id_of("s-1"), WorkerState.REMOVED)]
-    assert harness.pool.workers_at(ADDRESS) == [worker_id_of("s-2")]
+    assert registry_harness.pool.workers_at(ADDRESS) == [worker_id_of("s-2")]
 
 
-def test_draining_worker_displaces_nobody(harness):
-    harness.apply(record("s-1"))
+def test_draining_worker_displaces_nobody(registry_harness):
+    registry_harness.apply(record("s-1"))
 
-    changed = harness.apply(record("s-2", "terminating", up_since_ms=2.0))
+    changed = registry_harness.apply(record("s-2", "terminating", up_since_ms=2.0))
 
     assert changed == [(worker_id_of("s-2"), WorkerState.DRAINING)]
 
@@ -193,15 +193,15 @@
     assert list(harness.pool.workers) == ready_ids
 
 
-def test_changes_of_state_and_process_are_logged_after_the_first_list(harness):
+def test_changes_of_state_and_process_are_logged_after_the_first_list(registry_harness):
     worker_id = worker_id_of("s-1")
-    harness.apply(record("s-1"), complete=True)
-    harness.apply(record("s-1"))
+    registry_harness.apply(record("s-1"), complete=True)
+    registry_harness.apply(record("s-1"))
 
-    harness.apply(record("s-1", up_since_ms=2.0))
-    harness.apply(record("s-1", "terminating", up_since_ms=2.0))
+    registry_harness.apply(record("s-1", up_since_ms=2.0))
+    registry_harness.apply(record("s-1", "terminating", up_since_ms=2.0))
 
-    assert harness.log_lines == [
+    assert registry_harness.log_lines == [
         f"worker {worker_id} is READY, started at 2",
         f"worker {worker_id} is DRAINING, started at 2",
     ]
@@ -210,10 +210,8 @@
 # --- start times, by a wall clock that may be wrong
 
 
-def age_after_start_event(start_router, started_ago_ms):
+def age_after_start_event(harness, worker, started_ago_ms):
     """How long ago a start that a new event reports was, by the clock of the decisions."""
-    worker = FakeWorker()
-    harness = start_router(worker)
     up_since_ms = clock.unix_ms() - started_ago_ms
     harness.endpoint_log.send_line(endpoint_event(2, worker.record(up_since_ms=up_since_ms)))
     decided = harness.router_process.router.fleet.workers.by_id[worker.worker_id]
@@ -221,13 +219,13 @@
     return harness.router_process.loop.clock.now_ms() - decided.started_ms
 
 
-def test_start_in_the_future_counts_from_now(start_router):
-    assert 0.0 <= age_after_start_event(start_router, -3_600_000.0) < 1_000.0
+def test_start_in_the_future_counts_from_now(harness, worker):
+    assert 0.0 <= age_after_start_event(harness, worker, -3_600_000.0) < 1_000.0
 
 
-def test_start_in_a_live_update_was_not_long_ago_whatever_the_wall_clock_says(start_router):
-    assert 0.0 <= age_after_start_event(start_router, 3_600_000.0) < 1_000.0
+def test_start_in_a_live_update_was_not_long_ago_whatever_the_wall_clock_says(harness, worker):
+    assert 0.0 <= age_after_start_event(harness, worker, 3_600_000.0) < 1_000.0
 
 
-def test_start_some_seconds_ago_counts_from_then(start_router):
-    assert 4_900.0 <= age_after_start_event(start_router, 5_000.0) < 6_000.0
+def test_start_some_seconds_ago_counts_from_then(harness, worker):
+    assert 4_900.0 <= age_after_start_event(harness, worker, 5_000.0) < 6_000.0
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -74,9 +74,7 @@
 # --- order, repeats and silence
 
 
-def test_events_received_twice_or_out_of_date_are_ignored(start_router):
-    harness = start_router(FakeWorker())
-
+def test_events_received_twice_or_out_of_date_are_ignored(harness):
     with mock.patch.object(harness.router_process.endpoint_watch, "_on_endpoints") as on_endpoints:
         for sequence in (2, 2, 1, 3):
             harness.endpoint_log.send_line(endpoint_event(sequence))
@@ -85,8 +83,7 @@
     assert on_endpoints.call_count == 2
 
 
-def test_silent_log_is_requested_again_from_the_last_event(start_router):
-    harness = start_router(FakeWorker())
+def test_silent_log_is_requested_again_from_the_last_event(harness):
     harness.endpoint_log.send_line(endpoint_event(2))
     wait_for_sequence(harness, 2)
 
@@ -96,8 +93,7 @@
     assert harness.endpoint_log.requests() == [["since", "1"], ["since", "2"]]
 
 
-def test_silence_timeout_starts_when_the_connection_is_up(start_router):
-    harness = start_router(FakeWorker())
+def test_silence_timeout_starts_when_the_connection_is_up(harness):
     client = harness.router_process.endpoint_watch.client
     client._last_line_ms -= endpoint_log_client.SILENCE_TIMEOUT_MS + 1  # connecting took that long
     before = client._connection
@@ -112,19 +108,14 @@
 
 
 @pytest.mark.parametrize("line", [b"4", b'{"seq":4,"fleet":{"members":[]}}'], ids=["announced", "event"])
-def test_missing_events_are_requested_again(start_router, line):
-    harness = start_router(FakeWorker())
-
+def test_missing_events_are_requested_again(harness, line):
     harness.endpoint_log.send_line(line)
     wait_for_requests(harness, 2)
 
     assert harness.endpoint_log.requests()[1] == ["since", "1"]
 
 
-def test_gap_that_stays_is_skipped_at_once_however_wide_it_is(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
-
+def test_gap_that_stays_is_skipped_at_once_however_large_it_is(harness, worker):
     harness.endpoint_log.send_line(endpoint_event(500, worker.record("terminating")))
     wait_for_requests(harness, 2)
     harness.endpoint_log.send_line(endpoint_event(500, worker.record("terminating")))
@@ -140,10 +131,7 @@
 
 
 @pytest.mark.parametrize("line", INVALID_LINES, ids=lambda line: line[:16].decode("latin-1"))
-def test_invalid_line_is_requested_again_and_then_skipped(start_router, line):
-    worker = FakeWorker()
-    harness = start_router(worker)
-
+def test_invalid_line_is_requested_again_and_then_skipped(harness, worker, line):
     harness.endpoint_log.send_line(line)
     wait_for_requests(harness, 2)
     harness.endpoint_log.send_line(line)
@@ -153,8 +141,7 @@
     assert state_of(harness, worker) == WorkerState.DRAINING
 
 
-def test_invalid_line_after_the_log_was_caught_up_is_requested_again(start_router):
-    harness = start_router(FakeWorker())
+def test_invalid_line_after_the_log_was_caught_up_is_requested_again(harness):
     watch = harness.router_process.endpoint_watch
 
     for request_count in (2, 3):
@@ -165,10 +152,9 @@
 
 
 @pytest.mark.parametrize("is_announced", [True, False])
-def test_noise_received_twice_while_no_event_is_due_does_not_hide_the_next_event(start_router, is_announced):
-    worker = FakeWorker()
-    harness = start_router(worker)
-
+def test_noise_received_twice_while_no_event_is_due_does_not_hide_the_next_event(
+    harness, worker, is_announced
+):
     harness.endpoint_log.send_line(b"noise")
     wait_for_requests(harness, 2)
     harness.endpoint_log.send_line(b"noise")
@@ -180,8 +166,7 @@
 
 
 @pytest.mark.parametrize("line", [b"9", b"noise", b'{"seq":9,"fleet":5}'])
-def test_log_that_sends_nothing_valid_is_not_requested_in_a_busy_loop(start_router, line):
-    harness = start_router(FakeWorker())
+def test_log_that_sends_nothing_valid_is_not_requested_in_a_busy_loop(harness, line):
     log = start_moved_log(harness, RepeatingEndpointLog(line, line, line))
     elapsed = []
     started_ms = clock.monotonic_ms()
@@ -197,8 +182,7 @@
     wait_for_sequence(harness, 2)
 
 
-def test_event_that_is_nested_too_deeply_is_skipped_like_any_other_invalid_one(start_router):
-    harness = start_router(FakeWorker())
+def test_event_that_is_nested_too_deeply_is_skipped_like_any_other_invalid_one(harness):
     nested = b'{"seq":2,"fleet":{"members":' + b"[" * 900 + b"]" * 900 + b"}}"
     log = start_moved_log(harness, RepeatingEndpointLog(nested, b'{"seq":3,"fleet":{"members":[]}}', b"3"))
 
@@ -209,9 +193,7 @@
     assert len(log.connections) == 2
 
 
-def test_line_that_keeps_coming_is_waited_for_however_slow_the_log_is(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
+def test_line_that_keeps_coming_is_waited_for_however_slow_the_log_is(harness, worker):
     line = json.dumps(endpoint_event(2, worker.record("terminating"))).encode()
     elapsed = []
 
@@ -257,10 +239,7 @@
     assert state_of(harness, worker) is None
 
 
-def test_snapshot_with_a_number_that_the_log_has_not_reached_hides_no_event(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
-
+def test_snapshot_with_a_number_that_the_log_has_not_reached_hides_no_event(harness, worker):
     harness.endpoint_log.send_line(endpoint_event(99_999_999, worker.record(), complete=True))
     harness.endpoint_log.send_line(endpoint_event(2, worker.record("terminating")))
     harness.endpoint_log.send_line(b"2")
@@ -275,8 +254,7 @@
 
 
 @pytest.mark.parametrize("is_broken", [False, True])
-def test_move_leaves_one_connection_and_no_late_reconnect(start_router, is_broken):
-    harness = start_router(FakeWorker())
+def test_move_leaves_one_connection_and_no_late_reconnect(harness, is_broken):
     watch = harness.router_process.endpoint_watch
     moved = FakeEndpointLog()
     elapsed = []
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -11,12 +11,6 @@
 from function_router.net.reload import RETRY_MS, ConfigurationReload
 
 
-@pytest.fixture
-def harness(start_router):
-    """A router without workers."""
-    return start_router()
-
-
 @pytest.fixture
 def make_reload(harness):
     """Make the reload of the router's configuration with a function that reads the new one."""
--- a/tests/net/test_router_process.py
+++ b/tests/net/test_router_process.py
@@ -3,11 +3,9 @@
 import signal
 from unittest import mock
 
-from helpers.fake_worker import FakeWorker
 
-
-def test_router_that_cannot_read_its_configuration_again_ignores_sighup(start_router):
-    process = start_router(FakeWorker()).router_process
+def test_router_that_cannot_read_its_configuration_again_ignores_sighup(harness):
+    process = harness.router_process
     process.loop.running = False
     with (
         mock.patch.object(process.loop, "handle_signals") as handle_signals,
