--- a/soak/faults.py
+++ b/soak/faults.py
@@ -6,7 +6,7 @@
 
 import asyncio
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Coroutine
 from dataclasses import dataclass
 from typing import Final
 
@@ -25,6 +25,9 @@
 MAX_EXTRA_PAUSE_S = 0.15  # on top of it, at full intensity
 BETWEEN_PAUSES_S = 0.4
 CLOCK_STEPS_S = (5.0, -5.0, 3600.0, -3600.0, 60.0)
+MIN_WORKER_DOWN_S = 0.1  # between the end of a worker and its next start
+MAX_WORKER_DOWN_S = 0.8
+MAX_PUBLISH_DELAY_S = 0.5  # between a worker's start and its event
 DRAIN_S = 1.5  # between a worker's drain and its end
 RESET_COUNT = 3
 BETWEEN_RESETS_S = 0.3
@@ -49,23 +52,22 @@
 
 async def roll_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
     """Send SIGTERM while clients still connect for a moment, then start the router from nothing."""
-    ending = asyncio.create_task(router.terminate())
-    await asyncio.sleep(LATE_CONNECTIONS_S)
-    await cluster.traffic.avoid_router(router.number)
-    await ending
-    await _restart_router(cluster, router)
+    await _restart_router(cluster, router, router.terminate(), LATE_CONNECTIONS_S)
 
 
 async def kill_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
-    """Send SIGKILL, which clients notice later, then start the router again."""
-    killing = asyncio.create_task(router.crash())
-    await asyncio.sleep(CLIENTS_NOTICE_S)
-    await cluster.traffic.avoid_router(router.number)
-    await killing
-    await _restart_router(cluster, router)
+    """Send SIGKILL, which clients notice later, then start the router from nothing."""
+    await _restart_router(cluster, router, router.kill(), CLIENTS_NOTICE_S)
 
 
-async def _restart_router(cluster: Cluster, router: RouterSlot) -> None:
+async def _restart_router(
+    cluster: Cluster, router: RouterSlot, end: Coroutine[None, None, None], clients_leave_after_s: float
+) -> None:
+    """End a router, with clients that keep away only after a while, and start it again."""
+    ending = asyncio.create_task(end)
+    await asyncio.sleep(clients_leave_after_s)
+    await cluster.traffic.avoid_router(router.number)
+    await ending
     await asyncio.sleep(ROUTER_DOWN_S)
     await cluster.start_router(router)
     if router.incarnation.ready_at:
@@ -133,12 +135,11 @@
 async def restart_worker(cluster: Cluster, slot: WorkerSlot, _fault: Fault) -> None:
     """Kill a worker and start it again under its name; the endpoint log says so a moment later."""
     name = slot.incarnation.name
-    await slot.crash()
-    await asyncio.sleep(cluster.rng.uniform(0.1, 0.8))
+    await slot.kill()
+    await asyncio.sleep(cluster.rng.uniform(MIN_WORKER_DOWN_S, MAX_WORKER_DOWN_S))
     await slot.start(name, is_in_slow_start=True)
-    incarnation = slot.incarnation
-    await asyncio.sleep(cluster.rng.uniform(0.0, 0.5))
-    incarnation.ready_notified_at = await cluster.endpoints.publish(slot.endpoint(EndpointPhase.READY))
+    await asyncio.sleep(cluster.rng.uniform(0.0, MAX_PUBLISH_DELAY_S))
+    await _publish_ready(cluster, slot)
 
 
 async def replace_worker(cluster: Cluster, slot: WorkerSlot, _fault: Fault) -> None:
@@ -146,11 +147,15 @@
     old = slot.incarnation
     old.drain_notified_at = await cluster.endpoints.publish(slot.endpoint(EndpointPhase.DRAINING))
     await asyncio.sleep(DRAIN_S)
-    await slot.crash()
+    await slot.kill()
     await cluster.endpoints.publish(slot.endpoint(EndpointPhase.REMOVED))
     await slot.start(f"{old.name}x", is_in_slow_start=True)
-    new = slot.incarnation
-    new.ready_notified_at = await cluster.endpoints.publish(slot.endpoint(EndpointPhase.READY))
+    await _publish_ready(cluster, slot)
+
+
+async def _publish_ready(cluster: Cluster, slot: WorkerSlot) -> None:
+    notified_at = await cluster.endpoints.publish(slot.endpoint(EndpointPhase.READY))
+    slot.incarnation.ready_notified_at = notified_at
 
 
 async def hang_worker(_cluster: Cluster, slot: WorkerSlot, fault: Fault) -> None:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -13,6 +13,7 @@
 import sys
 import time
 from collections.abc import Callable
+from functools import partial
 from pathlib import Path
 
 import msgspec
@@ -127,11 +128,8 @@
                 await self._listen(route)
 
     async def _listen(self, route: Route) -> None:
-        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await self._serve(route, reader, writer)
-
         route.port = route.port or self._ports.take()
-        route.server = await listen(serve, route.port)
+        route.server = await listen(partial(self._serve, route), route.port)
 
     async def _serve(self, route: Route, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Forward a connection of a router in both directions until one of them ends."""
--- a/soak/request_client.py
+++ b/soak/request_client.py
@@ -3,6 +3,7 @@
 import asyncio
 import random
 import time
+from dataclasses import dataclass
 from enum import Enum, auto
 
 from msgspec import Struct
@@ -81,6 +82,27 @@
     )
 
 
+@dataclass(frozen=True, slots=True)
+class Exchange:
+    """A request that was sent on a connection.
+
+    Attributes:
+        request: what was sent.
+        connection: where it was sent.
+        seqid: its number on the connection.
+        answer: fails with ConnectionEndedError.
+        sent_at: in monotonic seconds.
+        was_alone: whether no other request was pending on the connection.
+    """
+
+    request: ClientRequest
+    connection: ThriftConnection
+    seqid: int
+    answer: asyncio.Future[ClientAnswer]
+    sent_at: float
+    was_alone: bool
+
+
 class RequestClient:
     """Sends requests, and records what becomes of each."""
 
@@ -102,27 +124,27 @@
             connection = await self._connections.acquire(port, is_new=is_new, is_private=closes)
         except OSError:
             return False  # never sent
+        exchange = self._begin(request, router, connection)
         try:
-            return await self._exchange(connection, request, router, departure, is_retry=is_retry)
+            await self._await_end(exchange, departure)
+        except ConnectionEndedError as error:
+            is_crossing = exchange.was_alone and error.at - exchange.sent_at <= CROSSING_S and not is_retry
+            self._recorder.add(ConnectionLost(request.request_id, error.at, error.cause, is_crossing))
+            return is_crossing
         finally:
+            connection.pending.pop(exchange.seqid, None)
             if closes:
                 connection.close()
+        self._record_surplus(exchange)
+        return False
 
     def _draw_departure(self) -> Departure:
         if self._rng.random() < CLOSE_SHARE:
             return Departure.CLOSE
         return Departure.CANCEL if self._rng.random() < CANCEL_SHARE else Departure.NONE
 
-    async def _exchange(
-        self,
-        connection: ThriftConnection,
-        request: ClientRequest,
-        router: int,
-        departure: Departure,
-        *,
-        is_retry: bool,
-    ) -> bool:
-        """Send a request on a connection; whether it crossed the close of it and may be sent again."""
+    def _begin(self, request: ClientRequest, router: int, connection: ThriftConnection) -> Exchange:
+        """Send a request on a connection."""
         seqid = connection.take_seqid()
         answer = connection.expect_answer(seqid)
         was_alone = len(connection.pending) == 1
@@ -132,63 +154,42 @@
         self._recorder.add(
             RequestSent(request.request_id, router, request.class_name, sent_at, request.timeout_s)
         )
-        try:
-            await self._await_end(connection, seqid, answer, request, departure)
-        except ConnectionEndedError as error:
-            is_crossing = was_alone and not is_retry and error.at - sent_at <= CROSSING_S
-            self._recorder.add(ConnectionLost(request.request_id, error.at, error.cause, is_crossing))
-            return is_crossing
-        finally:
-            connection.pending.pop(seqid, None)
-        self._record_surplus(connection, request)
-        return False
+        return Exchange(request, connection, seqid, answer, sent_at, was_alone)
 
-    def _record_surplus(self, connection: ThriftConnection, request: ClientRequest) -> None:
-        """Count surplus answers of the connection against its latest request: they name none."""
-        if connection.surplus_answers:
-            surplus = RequestAnswered(request.request_id, time.monotonic(), AnswerKind.SURPLUS)
-            self._recorder.add(surplus)
-            connection.surplus_answers = 0
-
-    async def _await_end(
-        self,
-        connection: ThriftConnection,
-        seqid: int,
-        answer: asyncio.Future[ClientAnswer],
-        request: ClientRequest,
-        departure: Departure,
-    ) -> None:
+    async def _await_end(self, exchange: Exchange, departure: Departure) -> None:
         """Wait for the answer, or leave after a part of the timeout where that is the departure."""
         if departure is not Departure.NONE:
-            leave_after_s = request.timeout_s * self._rng.uniform(0.0, MAX_LEAVE_SHARE) ** 2
-            done, _ = await asyncio.wait([answer], timeout=leave_after_s)
+            leave_after_s = exchange.request.timeout_s * self._rng.uniform(0.0, MAX_LEAVE_SHARE) ** 2
+            done, _ = await asyncio.wait([exchange.answer], timeout=leave_after_s)
             if not done:
-                await self._leave(connection, seqid, answer, request, departure)
+                await self._leave(exchange, departure)
                 return
-        await self._await_answer(answer, request)
+        await self._await_answer(exchange)
 
-    async def _await_answer(self, answer: asyncio.Future[ClientAnswer], request: ClientRequest) -> None:
+    async def _await_answer(self, exchange: Exchange) -> None:
+        request = exchange.request
         try:
-            found = await asyncio.wait_for(answer, request.timeout_s + PATIENCE_S)
+            answer = await asyncio.wait_for(exchange.answer, request.timeout_s + PATIENCE_S)
         except TimeoutError:
             return
         expected_body = served_body(bytes.fromhex(request.request_id))
-        is_genuine = found.kind is not AnswerKind.SERVED or found.body == expected_body
-        self._recorder.add(RequestAnswered(request.request_id, found.at, found.kind, is_genuine))
-
-    async def _leave(
-        self,
-        connection: ThriftConnection,
-        seqid: int,
-        answer: asyncio.Future[ClientAnswer],
-        request: ClientRequest,
-        departure: Departure,
-    ) -> None:
+        is_genuine = answer.kind is not AnswerKind.SERVED or answer.body == expected_body
+        self._recorder.add(RequestAnswered(request.request_id, answer.at, answer.kind, is_genuine))
+
+    async def _leave(self, exchange: Exchange, departure: Departure) -> None:
         if departure is Departure.CLOSE:
-            connection.pending.pop(seqid, None)
-            connection.close()
-            self._recorder.add(ClientGone(request.request_id, time.monotonic()))
-            return
-        connection.send(encode_cancel(seqid))
-        self._recorder.add(ClientGone(request.request_id, time.monotonic()))
-        await asyncio.wait([answer], timeout=PATIENCE_S)  # an answer that crossed it is no surplus
+            exchange.connection.pending.pop(exchange.seqid, None)
+            exchange.connection.close()
+        else:
+            exchange.connection.send(encode_cancel(exchange.seqid))
+        self._recorder.add(ClientGone(exchange.request.request_id, time.monotonic()))
+        if departure is Departure.CANCEL:
+            # An answer that crossed the cancellation is no surplus.
+            await asyncio.wait([exchange.answer], timeout=PATIENCE_S)
+
+    def _record_surplus(self, exchange: Exchange) -> None:
+        """Count surplus answers of a connection against its latest request: they name none."""
+        if exchange.connection.surplus_answers:
+            request_id = exchange.request.request_id
+            self._recorder.add(RequestAnswered(request_id, time.monotonic(), AnswerKind.SURPLUS))
+            exchange.connection.surplus_answers = 0
--- a/soak/request_rules.py
+++ b/soak/request_rules.py
@@ -7,9 +7,8 @@
 from soak import site
 from soak.history import RequestHistory
 from soak.records import AnswerKind, AttemptSeen, RequestSent
-from soak.rules import Rule, Violation
+from soak.rules import MEASURING_SLACK_S, Rule, Violation
 from soak.run_record import RouterIncarnation
-from soak.tolerances import MEASURING_SLACK_S
 
 MAX_LATE_ANSWER_S = 0.5  # after the request's timeout
 MAX_AFTER_CLIENT_GONE_S = 0.1  # between a client's leaving and the last attempt for it
--- a/soak/router_rules.py
+++ b/soak/router_rules.py
@@ -4,9 +4,8 @@
 
 from soak.history import RunHistory
 from soak.records import BadClientSeen
-from soak.rules import Rule, Violation
+from soak.rules import MEASURING_SLACK_S, Rule, Violation
 from soak.run_record import RouterIncarnation
-from soak.tolerances import MEASURING_SLACK_S
 
 MAX_START_S = 10.0
 MAX_BAD_CLIENT_S = 3.0  # until a bad client has its rejection, error or close
--- a/soak/router_slot.py
+++ b/soak/router_slot.py
@@ -89,7 +89,7 @@
         """Let the process run again."""
         self._signal(signal.SIGCONT)
 
-    async def crash(self) -> None:
+    async def kill(self) -> None:
         """End the process with SIGKILL, as planned, and wait for its end."""
         self.incarnation.killed_at = time.monotonic()
         self._signal(signal.SIGKILL)
--- a/soak/rules.py
+++ b/soak/rules.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
+MEASURING_SLACK_S = 0.05  # which each rule allows for the time that the observers themselves take
 MAX_EXAMPLES = 3  # of each rule in a report
 
 
--- a/soak/worker_rules.py
+++ b/soak/worker_rules.py
@@ -6,9 +6,8 @@
 
 from soak import site
 from soak.history import RunHistory
-from soak.rules import Rule, Violation
+from soak.rules import MEASURING_SLACK_S, Rule, Violation
 from soak.run_record import RouterIncarnation, WorkerIncarnation
-from soak.tolerances import MEASURING_SLACK_S
 
 DRAIN_GRACE_S = 1.0 + 0.05  # after the notification of a drain
 START_ORDER_TOLERANCE = 1.15  # times the rate limit, and one more
--- a/soak/worker_slot.py
+++ b/soak/worker_slot.py
@@ -55,7 +55,7 @@
         self._started_at_ms = time.time() * 1000 if is_in_slow_start else 0.0
         await self.forward()
 
-    async def crash(self) -> None:
+    async def kill(self) -> None:
         """Kill the process, and have the proxy refuse connections for it."""
         self.process.kill()
         await self.refuse_connections()
