--- /dev/null
+++ b/tests/test_soak_endpoint_log.py
@@ -0,0 +1,162 @@
+"""Tests of the soak test's endpoint log: what a router gets of its events, and the faults of the log."""
+
+import asyncio
+import contextlib
+
+import msgspec
+import pytest
+
+from soak.endpoint_events import Endpoint, EndpointEvent, EndpointPhase
+from soak.endpoint_log import EndpointLogServer
+from soak.ports import PortRange
+
+PORTS = range(31_900, 32_000)  # the last ones of the range, which runs reach last
+WORKER_PORTS = [20_000]
+PATIENCE_S = 5.0
+SILENCE_S = 0.2
+
+
+def event(sequence):
+    """An event with one worker."""
+    endpoint = Endpoint(f"s-{sequence}", 0, EndpointPhase.READY, 0.0)
+    return EndpointEvent(sequence, (endpoint,), is_complete=False)
+
+
+class RouterConnection:
+    """A router's connection to an endpoint log."""
+
+    def __init__(self, reader, writer):
+        self._reader = reader
+        self._writer = writer
+
+    async def read_line(self):
+        """The next line, decoded: an event, or a sequence number; None at the end of the connection."""
+        line = await asyncio.wait_for(self._reader.readline(), PATIENCE_S)
+        return msgspec.json.decode(line) if line else None
+
+    async def read_sequences(self, count):
+        """The sequence numbers of the next lines."""
+        lines = [await self.read_line() for _ in range(count)]
+        return [line["seq"] if isinstance(line, dict) else line for line in lines]
+
+    def close(self):
+        """Close the connection."""
+        self._writer.close()
+
+
+class LogHarness:
+    """A log with some events, and connections to it."""
+
+    def __init__(self, server, events):
+        self.server = server
+        self.events = events
+        self.resources = contextlib.AsyncExitStack()
+
+    async def connect(self, known_sequence=0):
+        """Connect as a router that knows the events up to a number."""
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.server.port)
+        connection = RouterConnection(reader, writer)
+        self.resources.callback(connection.close)
+        writer.write(b"since %d\n" % known_sequence)
+        return connection
+
+
+@pytest.fixture
+def with_log(cleanups):
+    """Run a coroutine function with a log that listens and has two events."""
+
+    def run(use):
+        async def run_in_loop():
+            ports = PortRange(PORTS)
+            cleanups.callback(ports.close)
+            events = [event(1), event(2)]
+            server = EndpointLogServer(events, lambda each: each.to_wire(WORKER_PORTS), ports)
+            harness = LogHarness(server, events)
+            async with harness.resources:
+                await server.start()
+                harness.resources.push_async_callback(server.close)
+                return await use(harness)
+
+        return asyncio.run(run_in_loop())
+
+    return run
+
+
+@pytest.mark.parametrize(("known_sequence", "sequences"), [(0, [1, 2, 2]), (1, [2, 2]), (2, [2])])
+def test_router_gets_the_events_after_the_one_it_knows(with_log, known_sequence, sequences):
+    async def use(harness):
+        connection = await harness.connect(known_sequence)
+        return await connection.read_sequences(len(sequences))
+
+    assert with_log(use) == sequences
+
+
+def test_event_is_sent_as_it_is_published(with_log):
+    async def use(harness):
+        connection = await harness.connect(known_sequence=2)
+        before = await connection.read_sequences(1)
+        harness.events.append(event(3))
+        await harness.server.publish()
+        return before, await connection.read_sequences(2)
+
+    assert with_log(use) == ([2], [3, 3])
+
+
+def test_silent_log_sends_what_was_published_meanwhile_once_it_speaks_again(with_log):
+    async def use(harness):
+        connection = await harness.connect(known_sequence=2)
+        await connection.read_line()
+        silence = asyncio.create_task(harness.server.stay_silent(SILENCE_S))
+        await asyncio.sleep(0)
+        harness.events.append(event(3))
+        await harness.server.publish()
+        reading = asyncio.create_task(connection.read_sequences(2))
+        await asyncio.sleep(SILENCE_S / 2)
+        read_in_silence = reading.done()
+        await silence
+        return read_in_silence, await reading
+
+    assert with_log(use) == (False, [3, 3])
+
+
+def test_log_that_refuses_connections_ends_the_open_ones_and_listens_again(with_log):
+    async def use(harness):
+        connection = await harness.connect(known_sequence=2)
+        await connection.read_line()
+        port = harness.server.port
+        refusal = asyncio.create_task(harness.server.refuse_connections(SILENCE_S))
+        end = await connection.read_line()
+        with pytest.raises(ConnectionRefusedError):
+            await harness.connect()
+        await refusal
+        connection = await harness.connect(known_sequence=1)
+        return end, await connection.read_sequences(2), harness.server.port == port
+
+    assert with_log(use) == (None, [2, 2], True)
+
+
+def test_moved_log_publishes_only_at_its_new_address(with_log):
+    async def use(harness):
+        old = await harness.connect(known_sequence=2)
+        await old.read_line()
+        old_port = harness.server.port
+        await harness.server.move()
+        new = await harness.connect(known_sequence=2)
+        await new.read_line()
+        harness.events.append(event(3))
+        await harness.server.publish()
+        return harness.server.port != old_port, await new.read_sequences(2), await old.read_line()
+
+    assert with_log(use) == (True, [3, 3], None)
+
+
+def test_fault_of_a_log_delays_from_when_on_routers_count_as_notified(with_log):
+    async def use(harness):
+        before = harness.server.impaired_until
+        await harness.server.move()
+        return before, harness.server.impaired_until - asyncio.get_running_loop().time()
+
+    before, margin_s = with_log(use)
+
+    assert before == 0.0
+    assert 3.0 < margin_s <= 4.0
--- /dev/null
+++ b/tests/test_soak_traffic.py
@@ -0,0 +1,51 @@
+"""Tests of the control of the soak test's clients: a change leaves all else as it was."""
+
+import asyncio
+
+import pytest
+
+from soak.commands import ClientsCommand
+from soak.traffic import Traffic
+
+
+class CommandedProcess:
+    """Stands in for the clients' process, and keeps the commands."""
+
+    def __init__(self):
+        self.commands = []
+
+    async def send_command(self, command):
+        """Keep a command."""
+        self.commands.append(command)
+
+
+@pytest.fixture
+def command_after():
+    """The last command, after traffic to two routers was started and changed."""
+
+    def run(change):
+        async def start_and_change():
+            process = CommandedProcess()
+            traffic = Traffic(process, router_count=2)
+            await traffic.start([1, 2], 50.0)
+            await change(traffic)
+            return process.commands[-1]
+
+        return asyncio.run(start_and_change())
+
+    return run
+
+
+@pytest.mark.parametrize(
+    ("change", "command"),
+    [
+        (lambda traffic: traffic.avoid_router(0), ClientsCommand([0, 2], 50.0)),
+        (lambda traffic: traffic.use_router(1, 3), ClientsCommand([1, 3], 50.0)),
+        (lambda traffic: traffic.set_request_rate(70.0), ClientsCommand([1, 2], 70.0)),
+        (lambda traffic: traffic.set_bad_client_rate(5.0), ClientsCommand([1, 2], 50.0, 5.0)),
+        (lambda traffic: traffic.stop(), ClientsCommand([1, 2], 0.0)),
+    ],
+    ids=["avoid a router", "use a router", "request rate", "bad clients", "stop"],
+)
+def test_change_leaves_all_else_as_it_was(command_after, change, command):
+    assert command_after(change) == command
