--- a/soak/bad_clients.py
+++ b/soak/bad_clients.py
@@ -1,4 +1,4 @@
-"""Clients that do not keep to the protocol: each is owed a rejection, an error or a close within 3 s."""
+"""Clients that violate the protocol: the router owes each a rejection, an error or a close within 3 s."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 from soak.records import BadClientSeen, Recorder
 from soak.thrift_client import END_OF_STRUCT, encode_cancel, encode_request
 
-PATIENCE_S = 4.0  # more than a bad client is owed, so that the checker sees how late the router is
+PATIENCE_S = 4.0  # longer than the router may take, so that the checker sees how late it is
 NOISE_BYTES = 300
 CANCEL_COUNT = 300
 MAX_SIZE = 2**31 - 1  # of a frame, as its header can state it
@@ -65,7 +65,7 @@
     except TimeoutError:
         is_settled = False
     except OSError:
-        pass  # a reset settles it as a close does
+        pass  # a reset counts as a close
     now = time.monotonic()
     recorder.add(BadClientSeen(router, kind, now, now - connected_at, is_settled))
     writer.close()
--- a/soak/client_connections.py
+++ b/soak/client_connections.py
@@ -1,17 +1,17 @@
-"""The clients' connections to all routers: which ones are used again, left idle, or abandoned."""
+"""The clients' connections to all routers: reused ones, idle ones, and abandoned ones."""
 
 import random
 import time
 
 from soak.thrift_client import ThriftConnection
 
-MAX_PENDING_REQUESTS = 32  # of a connection that gets another request
-MAX_IDLE_S = 4.0  # a client closes its connection once it was idle for so long
-KEPT_SHARE = 0.5  # of new connections: used again later; the others stay open and are never used again
+MAX_PENDING_REQUESTS = 32  # on a connection, which then gets no more
+MAX_IDLE_S = 4.0  # until the client closes the connection
+KEPT_SHARE = 0.5  # of extra connections; the others stay open, but are never used again
 
 
 class ClientConnections:
-    """Opens and reuses connections; it owns all but the private ones, which their user closes."""
+    """Opens and reuses connections; it owns all of them except private ones, which the caller closes."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -19,7 +19,7 @@
         self._abandoned: list[ThriftConnection] = []
 
     async def acquire(self, port: int, *, is_new: bool, is_private: bool) -> ThriftConnection:
-        """A connection for one request.
+        """Return a connection for one request.
 
         Args:
             port: of the router.
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -15,12 +15,12 @@
 from soak.records import Recorder
 from soak.request_client import RequestClient, draw_request
 
-RATE_POLL_S = 0.05  # while nothing is to arrive
+RATE_POLL_S = 0.05  # while the rate is 0
 SETTLE_S = 0.1  # for the tasks of closed connections to end
 
 
 class Clients:
-    """Open-loop arrivals over all routers that are up: how fast they are answered changes nothing."""
+    """Open-loop arrivals: the rate of requests doesn't depend on how fast the routers answer."""
 
     def __init__(self, recorder: Recorder, function_count: int, seed: int) -> None:
         self._recorder = recorder
@@ -54,7 +54,7 @@
     async def _run_arrivals(
         self, get_rate: Callable[[], float], start: Callable[[int], Coroutine[None, None, None]]
     ) -> None:
-        """Start work at routers that are drawn at random, as a Poisson process of the present rate."""
+        """Start work at random routers, as a Poisson process with the current rate."""
         while True:
             rate = get_rate()
             await asyncio.sleep(self._rng.expovariate(rate) if rate else RATE_POLL_S)
@@ -65,7 +65,7 @@
                 task.add_done_callback(self._tasks.discard)
 
     async def _request(self, router: int) -> None:
-        """One request, which is sent again once where it crosses the close of its connection."""
+        """Send one request; retry it once if its connection closed just as it was sent."""
         request = draw_request(self._rng, self._functions, self._weights)
         is_crossing = await self._requests.send(request, router, self._command.ports[router])
         if is_crossing and self._command.ports[router]:
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -27,11 +27,11 @@
 
 
 class Cluster:
-    """Starts all processes as it is entered, and ends them on exit: `async with Cluster(...) as cluster`.
+    """An async context manager that starts all processes, and ends them on exit.
 
     Attributes:
         plan: the plan of the run, with the sizes of the cluster.
-        rng: the random generator of the run, for seeds and delays that the plan doesn't draw.
+        rng: random generator for the seeds and delays that aren't part of the plan.
         routers: by number.
         workers: the worker slots, by number.
         endpoints: the endpoint events, and the log of each router.
@@ -74,19 +74,19 @@
 
     @property
     def router_incarnations(self) -> list[RouterIncarnation]:
-        """Those of all routers, in the order of routers and of the starts of each."""
+        """The incarnations of all routers, by router and then by start time."""
         return [incarnation for router in self.routers for incarnation in router.incarnations]
 
     @property
     def worker_incarnations(self) -> list[WorkerIncarnation]:
-        """Those of all worker slots, in the order of their starts."""
+        """The incarnations of all worker slots, by start time."""
         incarnations = [incarnation for slot in self.workers for incarnation in slot.incarnations]
         return sorted(incarnations, key=lambda incarnation: incarnation.started_at)
 
     async def start_router(self, router: RouterSlot) -> None:
-        """Start an incarnation of a router with the endpoint list of this moment.
+        """Start an incarnation of a router, configured with the current endpoint list.
 
-        With a shim, some of its system calls fail in its first second: failures that pass must not end it.
+        With a shim, some system calls fail during its first second: a transient failure must not end it.
         """
         router.config.endpoint_log_port = self.endpoints.servers[router.number].port
         router.config.known_sequence = self.endpoints.last_sequence
@@ -102,7 +102,7 @@
         await starting
 
     async def drain(self) -> None:
-        """End the traffic, then the routers as a deployment would, and complete all records."""
+        """End the traffic, then terminate the routers as a deployment would, and complete all records."""
         await self.traffic.stop()
         await self._clients.finish(FINISH_S)
         for router in self.routers:
--- a/soak/commands.py
+++ b/soak/commands.py
@@ -1,6 +1,6 @@
 """Commands to the processes of the soak test: JSON lines on their standard input.
 
-A command replaces the one before it: it states all that its receiver does from now on.
+A command replaces the previous one: it states everything that the receiver does from then on.
 """
 
 import asyncio
@@ -25,8 +25,8 @@
 
     worker: int
     target_port: int | None  # None: connections are reset and new ones refused
-    corrupted_share: float = 0.0  # of what the worker sends, by reads
-    reset_connections: bool = False  # reset those that are open now
+    corrupted_share: float = 0.0  # of the reads from the worker
+    reset_connections: bool = False  # once, as the command arrives
 
 
 CommandT = TypeVar("CommandT", ClientsCommand, ProxyCommand)
--- a/soak/endpoint_events.py
+++ b/soak/endpoint_events.py
@@ -9,7 +9,7 @@
 
 
 class EndpointPhase(StrEnum):
-    """What an endpoint log says of a worker, by the word on the wire."""
+    """The state of a worker in the endpoint log; the values are those on the wire."""
 
     READY = "in_service"
     DRAINING = "terminating"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A worker as an event publishes it.
+    """A worker as an endpoint event describes it.
 
     Attributes:
         name: identifies the worker; it survives a restart of its process.
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEvent:
-    """A change of endpoints, or with `is_complete` the list of all of them."""
+    """Endpoints that have changed or, if `is_complete`, the list of all endpoints."""
 
     sequence: int
     endpoints: tuple[Endpoint, ...]
     is_complete: bool
 
     def to_wire(self, ports_by_slot: Sequence[int]) -> dict[str, Any]:
-        """The event as a line of the log has it, for the router that reaches the workers at these ports."""
+        """The event as JSON of the log, for a router that reaches the worker slots at these ports."""
         members = [
             {
                 "id": endpoint.name,
--- a/soak/endpoint_feed.py
+++ b/soak/endpoint_feed.py
@@ -11,7 +11,7 @@
 
 
 class EndpointFeed:
-    """All events so far, and the log servers, which faults disturb one by one.
+    """All events so far, and the log servers, one for each router, that publish them.
 
     Attributes:
         servers: the endpoint log of each router.
@@ -38,7 +38,7 @@
             await server.start()
 
     async def publish(self, endpoint: Endpoint) -> dict[int, float]:
-        """Publish a change of one endpoint; by router, from when on it counts as notified."""
+        """Publish a change of one endpoint; return, by router, the time from which it counts as notified."""
         self._add([endpoint], is_complete=False)
         now = time.monotonic()
         for server in self.servers:
@@ -50,7 +50,7 @@
         return [self._to_wire(event, router=router) for event in self._events]
 
     async def close(self) -> None:
-        """Listen no more, and end all connections."""
+        """Stop listening, and end all connections."""
         for server in self.servers:
             await server.close()
 
--- a/soak/endpoint_log.py
+++ b/soak/endpoint_log.py
@@ -15,15 +15,15 @@
 from soak.ports import PortRange, listen
 
 HEARTBEAT_S = 1.0
-OLD_ADDRESS_S = 1.5  # after a move, open connections to the old address stay for so long
-RECOVERY_MARGIN_S = 4.0  # after a fault of the log, a router counts as up to date with it
+OLD_ADDRESS_S = 1.5  # after a move, until connections to the old port are closed
+RECOVERY_MARGIN_S = 4.0  # after a fault of the log, until a router must have caught up
 
 # What the first line of a router is split into: a word, and the number of the last event that it knows.
 KNOWN_SEQUENCE_WORD = 1
 
 
 class EndpointLogServer:
-    """Serves the events of a list that all routers share; the feed owns it and closes it.
+    """Serves the list of events that all routers share; the feed owns the server and closes it.
 
     Attributes:
         port: where it listens now.
@@ -48,17 +48,17 @@
         self._published = asyncio.Condition()
 
     async def start(self) -> None:
-        """Listen: at the same address as before, or at a new one after a move."""
+        """Listen, on the same port as before unless the log has moved."""
         self.port = self.port or self._ports.take()
         self._server = await listen(self._serve, self.port)
 
     async def publish(self) -> None:
-        """Send what was added to the list of events."""
+        """Send the events that were added to the list."""
         async with self._published:
             self._published.notify_all()
 
     async def move(self) -> None:
-        """Go on at another address; the old one sends nothing more and closes its connections later."""
+        """Move to another port; connections to the old one get nothing more, and are closed later."""
         self._mark_impaired(0.0)
         old_server = self._server
         old_connections = list(self._connections)
@@ -85,7 +85,7 @@
         await self.start()
 
     async def close(self) -> None:
-        """Listen no more, and end all connections."""
+        """Stop listening, and end all connections."""
         self._end_connections()
         await asyncio.sleep(0)
 
@@ -117,7 +117,7 @@
     async def _send_events(
         self, writer: asyncio.StreamWriter, known_sequence: int, server: asyncio.Server | None
     ) -> None:
-        """Send events as they are published, while `server` is the one that listens."""
+        """Send events as they are published, as long as `server` is the one that listens."""
         while True:
             if server is self._server and not self._is_silent:
                 for event in self._events:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,7 +1,7 @@
 """The faults: one function each, and the registry that says what they hit and which exclude each other.
 
-A function injects its fault, lets it last for as long as the plan says, and returns once the target is as it
-was before, or is replaced.
+Each function injects its fault, keeps it up for the planned duration, and returns once the target has
+recovered or was replaced.
 """
 
 import asyncio
@@ -19,8 +19,8 @@
 BURST_FACTOR = 2.5  # of the plan's rate of requests
 BAD_CLIENTS_PER_S = 20.0
 ROUTER_DOWN_S = 0.3  # between the end of a router and its next start
-LATE_CONNECTIONS_S = 0.3  # after SIGTERM, new connections come for so long
-CLIENTS_NOTICE_S = 0.8  # until clients keep away from a router that was killed
+LATE_CONNECTIONS_S = 0.3  # after SIGTERM, until clients avoid the router
+CLIENTS_NOTICE_S = 0.8  # until clients avoid a router that was killed
 MIN_PAUSE_S = 0.1
 MAX_EXTRA_PAUSE_S = 0.15  # on top of it, at full intensity
 BETWEEN_PAUSES_S = 0.4
@@ -51,19 +51,19 @@
 
 
 async def roll_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
-    """Send SIGTERM while clients still connect for a moment, then start the router from nothing."""
+    """Send SIGTERM while clients still connect for a moment, then start a new process."""
     await _restart_router(cluster, router, router.terminate(), LATE_CONNECTIONS_S)
 
 
 async def kill_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
-    """Send SIGKILL, which clients notice later, then start the router from nothing."""
+    """Send SIGKILL, which clients notice only later, then start a new process."""
     await _restart_router(cluster, router, router.kill(), CLIENTS_NOTICE_S)
 
 
 async def _restart_router(
     cluster: Cluster, router: RouterSlot, end: Coroutine[None, None, None], clients_leave_after_s: float
 ) -> None:
-    """End a router, with clients that keep away only after a while, and start it again."""
+    """End a router, which clients avoid only after a while, and start it again."""
     ending = asyncio.create_task(end)
     await asyncio.sleep(clients_leave_after_s)
     await cluster.traffic.avoid_router(router.number)
@@ -75,7 +75,7 @@
 
 
 async def pause_router(_cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
-    """Stop the process again and again for a moment, as a busy machine does."""
+    """Suspend the process repeatedly for a moment, as an overloaded machine would."""
     end = time.monotonic() + fault.duration_s
     while time.monotonic() < end:
         router.pause()
@@ -105,12 +105,12 @@
 
 
 async def silence_endpoint_log(cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
-    """Have the endpoint log send nothing on connections that stay open."""
+    """Keep the connections of the endpoint log open, but send nothing on them."""
     await cluster.endpoints.servers[router.number].stay_silent(fault.duration_s)
 
 
 async def step_clock(_cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
-    """Step the router's wall clock, for good; its monotonic clock runs on."""
+    """Step the router's wall clock, for good; the monotonic clock is unaffected."""
     control = router.shim_control
     control.offset_before_s = control.offset_after_s
     control.step_at_unix_s = time.time()
@@ -119,7 +119,7 @@
 
 
 async def fail_calls(_cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
-    """Let system calls of the router fail in ways that Linux documents."""
+    """Make some of the router's system calls fail, in ways that Linux documents."""
     for name, share in CALL_FAILURES.items():
         setattr(router.shim_control, name, share * fault.intensity)
     router.write_shim_control()
@@ -133,7 +133,7 @@
 
 
 async def restart_worker(cluster: Cluster, slot: WorkerSlot, _fault: Fault) -> None:
-    """Kill a worker and start it again under its name; the endpoint log says so a moment later."""
+    """Kill a worker and restart it under its name; the endpoint log announces it a moment later."""
     name = slot.incarnation.name
     await slot.kill()
     await asyncio.sleep(cluster.rng.uniform(MIN_WORKER_DOWN_S, MAX_WORKER_DOWN_S))
@@ -143,7 +143,7 @@
 
 
 async def replace_worker(cluster: Cluster, slot: WorkerSlot, _fault: Fault) -> None:
-    """Drain a worker, then put another one, under another name, at its address."""
+    """Drain a worker, then start another one, with another name, at its address."""
     old = slot.incarnation
     old.drain_notified_at = await cluster.endpoints.publish(slot.endpoint(EndpointPhase.DRAINING))
     await asyncio.sleep(DRAIN_S)
@@ -159,7 +159,7 @@
 
 
 async def hang_worker(_cluster: Cluster, slot: WorkerSlot, fault: Fault) -> None:
-    """Stop the worker's process; its connections stay open."""
+    """Suspend the worker's process; its connections stay open."""
     slot.process.pause()
     await asyncio.sleep(fault.duration_s)
     slot.process.resume()
@@ -173,7 +173,7 @@
 
 
 async def corrupt_answers(_cluster: Cluster, slot: WorkerSlot, fault: Fault) -> None:
-    """Change, double or cut some of what the worker sends."""
+    """Garble, duplicate or truncate some of what the worker sends."""
     share = MIN_CORRUPTED_SHARE + MAX_EXTRA_CORRUPTED_SHARE * fault.intensity
     await slot.forward(corrupted_share=share)
     await asyncio.sleep(fault.duration_s)
@@ -191,14 +191,14 @@
 
 
 async def burst(cluster: Cluster, fault: Fault) -> None:
-    """Send far more requests."""
+    """Multiply the rate of requests."""
     await cluster.traffic.set_request_rate(cluster.plan.requests_per_s * BURST_FACTOR)
     await asyncio.sleep(fault.duration_s)
     await cluster.traffic.set_request_rate(cluster.plan.requests_per_s)
 
 
 async def add_bad_clients(cluster: Cluster, fault: Fault) -> None:
-    """Connect clients that break the protocol."""
+    """Add clients that violate the protocol."""
     await cluster.traffic.set_bad_client_rate(BAD_CLIENTS_PER_S)
     await asyncio.sleep(fault.duration_s)
     await cluster.traffic.set_bad_client_rate(0.0)
@@ -209,7 +209,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterFault:
-    """A fault of single routers; exclusive ones never meet on a router, the others come on top of any."""
+    """A fault of single routers; a router has at most one exclusive fault at a time, and any others."""
 
     inject: Callable[[Cluster, RouterSlot, Fault], Awaitable[None]]
     is_exclusive: bool = True
@@ -217,14 +217,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerFault:
-    """A fault of single worker slots; no two of them meet on a slot."""
+    """A fault of single worker slots; a slot has at most one fault at a time."""
 
     inject: Callable[[Cluster, WorkerSlot, Fault], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class ClientFault:
-    """A fault of the clients, which may come on top of any other one."""
+    """A fault of the clients, whatever other faults there are."""
 
     inject: Callable[[Cluster, Fault], Awaitable[None]]
 
--- a/soak/figures.py
+++ b/soak/figures.py
@@ -1,4 +1,4 @@
-"""How much was observed in a run: shown beside the verdict, as an idle run keeps all rules too."""
+"""How much was observed in a run, for the report: a run without traffic keeps all rules too."""
 
 from collections import Counter
 
@@ -8,7 +8,7 @@
 
 
 def count_figures(history: RunHistory) -> Counter[str]:
-    """The counts by what they count."""
+    """Count requests, answers and the like; the keys are texts of the report."""
     figures: Counter[str] = Counter()
     for request in history.requests:
         _count_request(request, figures)
--- a/soak/frame_tap.py
+++ b/soak/frame_tap.py
@@ -14,14 +14,14 @@
 
 
 class FrameTap:
-    """Splits the bytes of one direction into frames, without holding them back."""
+    """Parses the bytes of one direction into frames; the proxy forwards them without waiting for it."""
 
     def __init__(self, direction: int) -> None:
         self._reader = frames.FrameReader(direction)
         self._partial_since: float | None = None
 
     def feed(self, data: bytes) -> list[TappedFrame]:
-        """The frames that are complete with this data."""
+        """Return the frames that this data completes."""
         now = time.monotonic()
         tapped: list[TappedFrame] = []
         for frame in self._reader.feed(data):
--- a/soak/history.py
+++ b/soak/history.py
@@ -25,7 +25,7 @@
 
 @dataclass
 class RequestHistory:
-    """All that was observed of one request; `sent` is empty for one that no client of this run sent."""
+    """Everything observed about one request; `sent` is empty if no client is known to have sent it."""
 
     request_id: str
     sent: list[RequestSent] = field(default_factory=list)
@@ -36,7 +36,7 @@
     worker_answers: list[WorkerAnswerSeen] = field(default_factory=list)
 
     def add(self, record: RequestRecord) -> None:
-        """Add what was observed."""
+        """Add an observation."""
         match record:
             case RequestSent():
                 self.sent.append(record)
@@ -53,7 +53,7 @@
 
     @property
     def attempts_that_may_have_run(self) -> list[AttemptSeen]:
-        """The attempts that no worker has answered as not run, oldest first."""
+        """All attempts, oldest first, except those that a worker answered without running them."""
         attempts = [attempt for attempt in self.attempts if not self._has_never_run(attempt)]
         return sorted(attempts, key=lambda attempt: attempt.at)
 
@@ -67,12 +67,12 @@
 
 
 class RunHistory:
-    """All that was observed of one run.
+    """Everything observed in one run.
 
     Attributes:
         record: what the run itself recorded.
-        start_orders: probes among them.
-        bad_clients: what became of each.
+        start_orders: start orders and probes that arrived at workers.
+        bad_clients: how each client that violated the protocol ended.
     """
 
     def __init__(self, record: RunRecord) -> None:
@@ -93,7 +93,7 @@
 
     @property
     def requests(self) -> list[RequestHistory]:
-        """The requests that clients have sent."""
+        """The requests that clients are known to have sent."""
         return [request for request in self._requests.values() if request.sent]
 
     @property
@@ -103,7 +103,7 @@
             yield from request.attempts
 
     def sent_times_by_router(self) -> dict[int, list[float]]:
-        """When clients sent requests to each router, in order."""
+        """The times at which clients sent requests, sorted, by router."""
         times: dict[int, list[float]] = defaultdict(list)
         for request in self._requests.values():
             for sent in request.sent:
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a plan into a cluster, and keeps those that exclude each other apart."""
+"""Injects faults into a cluster, with at most one exclusive fault at a time on a target."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 
 
 class FaultInjector:
-    """Knows which targets have an exclusive fault at present, and leaves these out of the next one."""
+    """Keeps track of the targets that have an exclusive fault; another one leaves these out."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
@@ -18,7 +18,7 @@
         self._busy_workers: set[int] = set()
 
     async def inject(self, fault: Fault) -> None:
-        """Inject a fault into each of its targets that is free for it, and wait until it is over."""
+        """Inject a fault into its targets, except those that are reserved, and wait until it is over."""
         match FAULTS[fault.kind]:
             case RouterFault(inject, is_exclusive=True):
                 with _reserve(fault.routers, self._busy_routers) as numbers:
@@ -37,7 +37,7 @@
 
 @contextlib.contextmanager
 def _reserve(targets: list[int], busy: set[int]) -> Iterator[list[int]]:
-    """Those of the targets that are free; they count as busy until the end of the block."""
+    """Reserve the targets that are free, and yield them; release them at the end of the block."""
     free = [target for target in targets if target not in busy]
     busy.update(free)
     try:
--- a/soak/module_process.py
+++ b/soak/module_process.py
@@ -17,7 +17,7 @@
 
 
 class ModuleProcess:
-    """A process that is driven over its standard input, and ends with it.
+    """A process that takes commands on its standard input, and exits when that is closed.
 
     The caller owns it, and ends it with `finish` or `kill`.
     """
@@ -42,7 +42,7 @@
         return cls(process, module)
 
     async def read_line(self) -> bytes:
-        """Its next line of output, which says where it listens.
+        """Read its next line of output, which says where it listens.
 
         Raises:
             ProcessStartError: It ended without one.
@@ -61,7 +61,7 @@
         await self._process.stdin.drain()
 
     async def finish(self, within_s: float) -> None:
-        """End its input, and wait until it ends; kill it where it does not."""
+        """Close its input, and wait until it exits; kill it if it doesn't in time."""
         assert self._process.stdin
         self._process.stdin.close()
         try:
@@ -71,20 +71,20 @@
             await self._process.wait()
 
     def pause(self) -> None:
-        """Stop it from running, with SIGSTOP."""
+        """Suspend it with SIGSTOP."""
         self._process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it run again."""
+        """Resume it with SIGCONT."""
         with contextlib.suppress(ProcessLookupError):
             self._process.send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """End it at once, without waiting."""
+        """Send SIGKILL, without waiting for the end."""
         with contextlib.suppress(ProcessLookupError):
             self._process.kill()
 
     async def clean_up(self) -> None:
-        """End it, whatever state the run is in, and wait until it has ended."""
+        """Kill it if it still runs, and wait until it has ended."""
         self.kill()
         await self._process.wait()
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,7 +1,7 @@
-"""The plan of a run: its sizes, and which faults are injected when and where, all drawn from a seed.
+"""The plan of a run, drawn from a seed: its sizes, and which faults are injected when and where.
 
-The same seed and options give the same plan in any version: recorded seeds stay of use. So the draws, and
-their order, don't change.
+The same seed and options give the same plan in every version, so that recorded seeds remain useful: neither
+the draws nor their order may change.
 """
 
 import random
@@ -13,18 +13,18 @@
 WARM_UP_S = 3.0
 COOL_DOWN_S = 2.0
 INJECTION_INTERVAL_S = 3.0
-INJECTION_SPREAD_S = 0.5  # within which faults that are injected together begin
-MAX_SIMULTANEOUS_FAULTS = 3  # that are injected together; those before them may still last
+INJECTION_SPREAD_S = 0.5  # faults that are injected together start within this
+MAX_SIMULTANEOUS_FAULTS = 3  # injected together; earlier ones may still last
 MIN_FAULT_S = 1.0
 MAX_FAULT_S = 3.0
-MAX_ROUTER_SHARE = 0.5  # of all routers, that one fault hits
+MAX_ROUTER_SHARE = 0.5  # of all routers, as targets of one fault
 MAX_WORKER_SHARE = 0.34
 MIN_FUNCTIONS = 8
 MAX_FUNCTIONS = 24
 
 
 class FaultKind(StrEnum):
-    """The kinds of faults; `soak/faults.py` has what each does, and to whom."""
+    """The kinds of faults; `soak/faults.py` implements them."""
 
     ROUTER_ROLL = "router-roll"
     ROUTER_KILL = "router-kill"
@@ -120,5 +120,5 @@
 
 
 def _draw_targets(rng: random.Random, count: int, max_share: float) -> list[int]:
-    """At least one of `count` targets, and at most a share of them, in order."""
+    """Draw at least one of `count` targets, and at most a share of them; sorted."""
     return sorted(rng.sample(range(count), rng.randint(1, max(1, int(max_share * count)))))
--- a/soak/ports.py
+++ b/soak/ports.py
@@ -1,6 +1,6 @@
-"""Ports of listeners that come and go: outside the range of which the system takes ports for connections.
+"""Ports for listeners that stop and listen again, from outside the system's range of ephemeral ports.
 
-A port of that range may be some connection's by the time that a listener returns to it.
+A connection could otherwise have taken the port by the time the listener returns to it.
 """
 
 import asyncio
@@ -17,10 +17,10 @@
 
 
 class PortRange:
-    """Hands out the ports of a range, each once, and none that another run on this machine was given.
+    """Hands out the ports of a range, each once, and none that another run on this machine holds.
 
-    A listener begins some time after it was given its port, and may pause. Until then a port is reserved by
-    the name of an abstract Unix socket (unix(7)), which the kernel gives up with the process.
+    A listener starts some time after it got its port, and may stop for a while. To reserve the port until
+    then, an abstract Unix socket (unix(7)) is bound to a name of it, which the kernel releases at exit.
     """
 
     def __init__(self, ports: range) -> None:
@@ -28,7 +28,7 @@
         self._reservations: list[socket.socket] = []
 
     def take(self) -> int:
-        """A port that nobody listens on; raises NoFreePortError."""
+        """Take a port that nobody listens on; raises NoFreePortError."""
         for port in self._ports:
             if _is_bindable(port) and self._reserve(port):
                 return port
@@ -36,7 +36,7 @@
         raise NoFreePortError(message)
 
     def close(self) -> None:
-        """Give up the reservations of all ports."""
+        """Release all reservations."""
         for reservation in self._reservations:
             reservation.close()
 
@@ -56,7 +56,7 @@
 
 
 def _try_bind(sock: socket.socket, address: str | tuple[str, int]) -> bool:
-    """Bind a socket, unless its address is in use."""
+    """Bind a socket; False if the address is in use."""
     try:
         sock.bind(address)
     except OSError as error:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,6 +1,6 @@
 """The proxy between all routers and workers: it records frames for the checker, and injects faults.
 
-Each pair of a router and a worker slot has an address of its own, so that it knows whose bytes arrive. The
+It listens on a port for each pair of a router and a worker slot, which is how it knows who connects. The
 first line on standard output has the ports, by router and worker slot; commands come as JSON lines on
 standard input.
 """
@@ -29,7 +29,7 @@
 
 
 class Route:
-    """One router's way to one worker slot, and the connections that routers have open on it."""
+    """The route from one router to one worker slot, and the open connections on it."""
 
     def __init__(self, router: int, worker: int) -> None:
         self.router = router
@@ -39,7 +39,7 @@
         self.connections: set[asyncio.StreamWriter] = set()
 
     def refuse_connections(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         if self.server:
             self.server.close()
             self.server = None
@@ -94,7 +94,7 @@
 
 
 class Proxy:
-    """All routes, and what happens on those to each worker slot."""
+    """Forwards all routes, and applies the latest command for each worker slot."""
 
     def __init__(self, router_count: int, worker_count: int, recorder: Recorder) -> None:
         self._routes = [
@@ -106,7 +106,7 @@
 
     @property
     def ports(self) -> list[list[int]]:
-        """Where it listens, by router and worker slot."""
+        """The ports it listens on, by router and worker slot."""
         return [[route.port for route in routes] for routes in self._routes]
 
     async def listen(self) -> None:
@@ -171,7 +171,7 @@
             reset(writer)  # as the worker's end did: the router sees no orderly close
 
     def _corrupt(self, route: Route, data: bytes) -> bytes:
-        """The same bytes or, for the worker's corrupted share, noise, the bytes twice, or half of them."""
+        """Replace the bytes, for the corrupted share of reads, by noise, two copies, or their first half."""
         if random.random() >= self._commands[route.worker].corrupted_share:
             return data
         return random.choice((random.randbytes(len(data)), data + data, data[: len(data) // 2]))
@@ -184,7 +184,7 @@
     record: Callable[[TappedFrame], None],
     transform: Callable[[bytes], bytes] = bytes,
 ) -> None:
-    """Forward bytes until their end, and record their frames as they were before `transform`.
+    """Forward bytes until the end of the stream; frames are recorded as they were before `transform`.
 
     Raises:
         OSError: The connection of the reader broke.
@@ -196,7 +196,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection rather than close it."""
+    """Close a connection with a TCP reset."""
     if sock := writer.get_extra_info("socket"):
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
--- a/soak/records.py
+++ b/soak/records.py
@@ -10,13 +10,13 @@
 
 
 class AnswerKind(StrEnum):
-    """What a router answers a request with."""
+    """The kinds of answers to a request."""
 
     SERVED = "served"  # the response of a worker
-    THROTTLED = "throttled"  # a rejection: nothing has run
-    BROKEN = "broken"  # an error: it may have run
+    THROTTLED = "throttled"  # a rejection: the client may try again later
+    BROKEN = "broken"  # an error: the request may have run
     EXCEPTION = "exception"  # an application exception of Thrift
-    SURPLUS = "surplus"  # an answer to a request that has one already
+    SURPLUS = "surplus"  # not a kind of its own: any answer to a request that was already answered
 
 
 class RequestSent(Struct, tag=True, frozen=True):
@@ -30,7 +30,7 @@
 
 
 class RequestAnswered(Struct, tag=True, frozen=True):
-    """An answer has come; `is_genuine` is False for a served body that no worker made."""
+    """A client got an answer; `is_genuine` is False if its body is not the one that a worker sent."""
 
     request_id: str
     at: float
@@ -55,7 +55,7 @@
 
 
 class AttemptSeen(Struct, tag=True, frozen=True):
-    """A request has arrived whole, at `at`, at the proxy in front of a worker slot."""
+    """The proxy has received an attempt for a worker slot; `at` is the time of its last byte."""
 
     router: int
     worker: int
@@ -67,7 +67,7 @@
 
 
 class WorkerAnswerSeen(Struct, tag=True, frozen=True):
-    """A worker has answered an attempt; `code` is that of the frame."""
+    """A worker has answered an attempt; `code` is the code of its frame."""
 
     router: int
     worker: int
@@ -77,7 +77,7 @@
 
 
 class StartOrderSeen(Struct, tag=True, frozen=True):
-    """A start order, or with 0 instances a probe, has arrived whole, at `at`, at the proxy."""
+    """The proxy has received a start order, or a probe if `instances` is 0; `at` is its last byte's time."""
 
     router: int
     worker: int
@@ -87,13 +87,13 @@
 
 
 class BadClientSeen(Struct, tag=True, frozen=True):
-    """What became of a client that does not keep to the protocol."""
+    """How a client that violated the protocol ended."""
 
     router: int
     kind: str
     at: float
     took_s: float
-    is_settled: bool  # it got a rejection, an error or a close
+    is_settled: bool  # with a rejection, an error or a close
 
 
 RequestRecord = RequestSent | RequestAnswered | ClientGone | ConnectionLost | AttemptSeen | WorkerAnswerSeen
@@ -103,7 +103,7 @@
 
 
 class Recorder:
-    """Appends records to a file; whoever makes it closes it."""
+    """Appends records to a file; its creator closes it."""
 
     def __init__(self, path: Path) -> None:
         self._file: IO[bytes] = path.open("ab")
@@ -113,7 +113,7 @@
         self._file.write(_ENCODER.encode(record) + b"\n")
 
     def close(self) -> None:
-        """Write out what is buffered."""
+        """Flush and close the file."""
         self._file.close()
 
 
--- a/soak/request_client.py
+++ b/soak/request_client.py
@@ -1,4 +1,4 @@
-"""One request of a client: what it asks for, and what the client does until it is over."""
+"""One request of a client, from sending it to its answer, cancellation or close."""
 
 import asyncio
 import random
@@ -25,9 +25,9 @@
 CANCEL_SHARE = 0.05
 CLOSE_SHARE = 0.03
 MIN_TIMEOUT_SHARE = 0.5  # of the site's longest timeout
-MAX_LEAVE_SHARE = 0.5  # of the timeout, after which a client that leaves has left
-CROSSING_S = 0.05  # a request that crosses the close of its connection so closely is sent again once
-PATIENCE_S = 1.0  # after its timeout, until a request without an answer is given up
+MAX_LEAVE_ROOT = 0.5  # a client leaves after a share of the timeout, the square of at most this: mostly soon
+CROSSING_S = 0.05  # a request that was sent so shortly before its connection closed is retried once
+PATIENCE_S = 1.0  # after the timeout, until the client gives up
 MAX_BODY_BYTES = 2_000
 
 
@@ -40,7 +40,7 @@
 
 
 class ClientRequest(Struct, frozen=True):
-    """A request, by the keys of the wire that are drawn for it."""
+    """A request; `fields` has its parts by their names on the wire."""
 
     request_id: str
     class_name: str
@@ -157,9 +157,9 @@
         return Exchange(request, connection, seqid, answer, sent_at, was_alone)
 
     async def _await_end(self, exchange: Exchange, departure: Departure) -> None:
-        """Wait for the answer, or leave after a part of the timeout where that is the departure."""
+        """Wait for the answer; a client that departs waits only for a part of the timeout."""
         if departure is not Departure.NONE:
-            leave_after_s = exchange.request.timeout_s * self._rng.uniform(0.0, MAX_LEAVE_SHARE) ** 2
+            leave_after_s = exchange.request.timeout_s * self._rng.uniform(0.0, MAX_LEAVE_ROOT) ** 2
             done, _ = await asyncio.wait([exchange.answer], timeout=leave_after_s)
             if not done:
                 await self._leave(exchange, departure)
@@ -184,11 +184,11 @@
             exchange.connection.send(encode_cancel(exchange.seqid))
         self._recorder.add(ClientGone(exchange.request.request_id, time.monotonic()))
         if departure is Departure.CANCEL:
-            # An answer that crossed the cancellation is no surplus.
+            # An answer that crossed the cancellation on the wire is not surplus.
             await asyncio.wait([exchange.answer], timeout=PATIENCE_S)
 
     def _record_surplus(self, exchange: Exchange) -> None:
-        """Count surplus answers of a connection against its latest request: they name none."""
+        """Attribute surplus answers of a connection to this request, as they name none."""
         if exchange.connection.surplus_answers:
             request_id = exchange.request.request_id
             self._recorder.add(RequestAnswered(request_id, time.monotonic(), AnswerKind.SURPLUS))
--- a/soak/request_rules.py
+++ b/soak/request_rules.py
@@ -13,12 +13,12 @@
 MAX_LATE_ANSWER_S = 0.5  # after the request's timeout
 MAX_AFTER_CLIENT_GONE_S = 0.1  # between a client's leaving and the last attempt for it
 TIMEOUT_SLACK_S = 0.15  # by which the timeout sent to a worker may exceed what the client has left
-KILL_NOTICE_S = 1.0  # after a kill, requests still reach the router's address for so long
+KILL_NOTICE_S = 1.0  # after a kill, during which clients still send requests to the router
 KILL_MARGIN_S = 0.01
 
 
 def check_request(request: RequestHistory, routers: Sequence[RouterIncarnation]) -> Iterator[Violation]:
-    """All violations of one request that was sent; `routers` excuse what their planned kills take."""
+    """All violations by one request that was sent; a planned kill of its router excuses a lost one."""
     yield from _check_answers(request, routers)
     for attempt in request.attempts:
         yield from _check_attempt(request, attempt)
--- a/soak/router_config.py
+++ b/soak/router_config.py
@@ -9,7 +9,7 @@
 from soak import site
 
 MEMORY_MB = 96
-SOCKETS = 256  # few enough for the routers' shares of file descriptors to matter
+SOCKETS = 256  # few, so that the router's limits on file descriptors matter
 
 CLASSES = [
     {
--- a/soak/router_rules.py
+++ b/soak/router_rules.py
@@ -28,7 +28,7 @@
 
 
 def _check_incarnation(incarnation: RouterIncarnation) -> Iterator[Violation]:
-    """It is ready in time, and ends only where it was asked to, with exit code 0 after SIGTERM."""
+    """A router is ready in time, and exits only when asked to, with code 0 after SIGTERM."""
     name = f"router {incarnation.router}, started at {incarnation.started_at:.1f}"
     was_asked = incarnation.term_at is not None or incarnation.killed_at is not None
     if incarnation.exited_at is not None and (not was_asked or _has_ended_badly(incarnation)):
--- a/soak/router_slot.py
+++ b/soak/router_slot.py
@@ -19,14 +19,14 @@
 READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.02
 EXIT_TIMEOUT_S = 30.0  # after SIGKILL
-MAX_DRAIN_S = 3.0  # after SIGTERM a router gets the longest timeout of a request, but no more than this,
-KILL_GRACE_S = 0.7  # and this on top
-LOG_READ_BYTES = 4096  # small, so that a log that is not read fills its pipe soon
+MAX_DRAIN_S = 3.0  # after SIGTERM, even if requests may take longer
+KILL_GRACE_S = 0.7  # on top, before SIGKILL
+LOG_READ_BYTES = 4096  # small, so that the pipe fills up soon while the log is not read
 LOG_POLL_S = 0.05  # while the log is not read
 
 
 class RouterSlot:
-    """One router: its configuration, its present process, and its incarnations so far.
+    """One router: its configuration, its current process, and its incarnations so far.
 
     It owns the process; the cluster has it clean up at the end of the run.
 
@@ -34,7 +34,7 @@
         number: which of the cluster's routers it is.
         config: written to the configuration file by `start` and `reload`.
         shim_control: what its shim does after the next `write_shim_control`.
-        incarnations: oldest first, with the present one last.
+        incarnations: oldest first, with the current one last.
         is_log_read: while False, nobody reads the log that the process writes.
     """
 
@@ -51,7 +51,7 @@
 
     @property
     def incarnation(self) -> RouterIncarnation:
-        """The present or, while the router is down, the last incarnation."""
+        """The current incarnation or, while the router is down, the last one."""
         return self.incarnations[-1]
 
     async def start(self) -> None:
@@ -82,21 +82,21 @@
         self.shim_control.write(self._folder.shim_control(self.number))
 
     def pause(self) -> None:
-        """Stop the process from running, with SIGSTOP."""
+        """Suspend the process with SIGSTOP."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let the process run again."""
+        """Resume the process with SIGCONT."""
         self._signal(signal.SIGCONT)
 
     async def kill(self) -> None:
-        """End the process with SIGKILL, as planned, and wait for its end."""
+        """Send a planned SIGKILL, and wait for the end of the process."""
         self.incarnation.killed_at = time.monotonic()
         self._signal(signal.SIGKILL)
         await self._record_exit(EXIT_TIMEOUT_S)
 
     async def terminate(self) -> None:
-        """Send SIGTERM, then SIGKILL once the longest timeout of a request and some time more have passed."""
+        """Send SIGTERM, then SIGKILL if it still runs after the longest timeout of a request and a margin."""
         self.incarnation.term_at = time.monotonic()
         self._signal(signal.SIGTERM)
         if not await self._record_exit(min(site.MAX_TIMEOUT_MS / 1000, MAX_DRAIN_S) + KILL_GRACE_S):
@@ -105,13 +105,13 @@
             await self._record_exit(EXIT_TIMEOUT_S)
 
     def record_unplanned_exit(self) -> None:
-        """Record an exit that nobody asked for, where there was one."""
+        """Record the exit of a process that ended by itself."""
         if self._process and self._process.returncode is not None and self.incarnation.exited_at is None:
             self.incarnation.exit_code = self._process.returncode
             self.incarnation.exited_at = time.monotonic()
 
     async def clean_up(self) -> None:
-        """End the process, whatever state the run is in, and wait until it has ended."""
+        """Kill the process if it still runs, and wait until it has ended."""
         self.is_log_read = True
         self._signal(signal.SIGKILL)
         if self._process:
@@ -122,7 +122,7 @@
             self._process.send_signal(number)
 
     async def _record_exit(self, within_s: float) -> bool:
-        """Wait for the end of the process; whether it came in time."""
+        """Wait for the end of the process; False if it takes longer."""
         assert self._process
         try:
             self.incarnation.exit_code = await asyncio.wait_for(self._process.wait(), within_s)
@@ -132,7 +132,7 @@
         return True
 
     def _write_config(self) -> None:
-        """Replace the configuration file in one step: the process may read it at any time."""
+        """Replace the configuration file atomically: the process may read it at any time."""
         path = self._folder.router_config(self.number)
         new_path = path.with_suffix(".new")
         new_path.write_bytes(self.config.encode())
--- a/soak/rules.py
+++ b/soak/rules.py
@@ -1,16 +1,16 @@
-"""The operator's rules, and what the checker found of their violations."""
+"""The operator's rules, and the violations that the checker has found."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-MEASURING_SLACK_S = 0.05  # which each rule allows for the time that the observers themselves take
+MEASURING_SLACK_S = 0.05  # for the delay of the observers; on top of the slack that a rule grants
 MAX_EXAMPLES = 3  # of each rule in a report
 
 
 class Rule(StrEnum):
-    """What may not happen; the value is the text of a report."""
+    """What must not happen; the values are texts of the report."""
 
     LOST = "request without its one answer in time"
     DUPLICATE = "second answer, or a body that no worker made"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One violation of a rule, with what an engineer needs to find it in the records."""
+    """One violation of a rule, with what is needed to find it in the records."""
 
     rule: Rule
     example: str
--- a/soak/run.py
+++ b/soak/run.py
@@ -12,12 +12,12 @@
 
 
 async def run_plan(plan: Plan, folder: RunFolder, *, uses_shim: bool) -> RunRecord:
-    """Run a plan from start to end, in a folder that exists.
+    """Run a plan from start to end.
 
     Args:
         plan: what happens.
-        folder: takes the records, logs and configuration files.
-        uses_shim: whether the routers run with the shim, without which no clock or system call is disturbed.
+        folder: an existing folder for records, logs and configuration files.
+        uses_shim: whether routers run with the shim; without it, no clock steps and no system call fails.
 
     Raises:
         subprocess.CalledProcessError: The shim could not be compiled.
@@ -31,7 +31,7 @@
 
 
 async def _inject_on_schedule(plan: Plan, injector: FaultInjector) -> None:
-    """Begin each fault at its time, and wait until the time of the run is up and all faults are over."""
+    """Inject each fault at its time, then wait for the end of the run and of all faults."""
     started = time.monotonic()
     tasks: list[asyncio.Task[None]] = []
     for fault in plan.faults:
--- a/soak/run_folder.py
+++ b/soak/run_folder.py
@@ -26,11 +26,11 @@
         return self.path / "proxy.jsonl"
 
     def router_config(self, router: int) -> Path:
-        """The configuration file of a router; the shim lets opening it fail, by the end of its name."""
+        """The configuration file of a router; the shim recognizes it by the end of its name."""
         return self.path / f"router-{router}-config.json"
 
     def router_log(self, router: int) -> Path:
-        """The log of a router, of all its incarnations."""
+        """The log of a router, across its incarnations."""
         return self.path / f"router-{router}.log"
 
     def shim_control(self, router: int) -> Path:
--- a/soak/run_record.py
+++ b/soak/run_record.py
@@ -1,4 +1,4 @@
-"""What the run itself records, for the checker: when processes started and ended, and why.
+"""What a run records about its processes: when they started and ended, and why.
 
 All times are seconds of the machine's monotonic clock.
 """
@@ -11,7 +11,7 @@
 
 @dataclass
 class RouterIncarnation:
-    """One process of a router, from its start to its end; None for what did not happen."""
+    """One process of a router, from start to end; a time is None if that didn't happen."""
 
     router: int
     started_at: float
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class RunRecord:
-    """One run as the checker gets it.
+    """The input of the checker, along with the records in the folder.
 
     Attributes:
         plan: what was to happen.
--- a/soak/shim.c
+++ b/soak/shim.c
@@ -18,7 +18,7 @@
 #include <unistd.h>
 
 #define MAX_DESCRIPTORS 65536
-#define MAX_SHORT_BYTES 512 /* that a short transfer transfers */
+#define MAX_SHORT_BYTES 512 /* of a short transfer */
 #define CONTROL_VARIABLE "SOAK_SHIM_CONTROL"
 #define CONFIGURATION_FILE "config.json" /* the end of its path */
 
@@ -56,7 +56,7 @@
     random_state = 0x9E3779B97F4A7C15ULL * (uint64_t)(getpid() + 1);
 }
 
-/* The next number of a xorshift generator. */
+/* A xorshift generator: the C library's would share its state with the process. */
 static uint64_t next_random(void) {
     random_state ^= random_state << 13;
     random_state ^= random_state >> 7;
@@ -64,15 +64,15 @@
     return random_state;
 }
 
-/* True for a share of the calls. */
+/* Whether a call belongs to the share that fails, at random. */
 static int is_drawn(double share) {
     return share > 0 && (double)(next_random() >> 11) / 9007199254740992.0 < share; /* 2 to the 53rd */
 }
 
-/* Whether the fault of a field of `struct control` hits this call. */
+/* Whether this call gets the fault of a field of `struct control`. */
 #define INJECTS(field) (control && is_drawn(control->field))
 
-/* Set errno to one of the errors; always -1. */
+/* Set errno to one of the errors, at random; returns -1. */
 static int fail_with(const int *errors, size_t count) {
     errno = errors[next_random() % count];
     return -1;
@@ -114,8 +114,8 @@
     return accepted;
 }
 
-/* connect(2): no free local port (EADDRNOTAVAIL, EAGAIN) or no route; or a signal interrupts it, and the connection
- * goes on coming up, as POSIX says. */
+/* connect(2): no free local port (EADDRNOTAVAIL, EAGAIN) or no route; or a signal interrupts it, after which the
+ * connection is still established asynchronously, as POSIX says. */
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect);
     set_outgoing(fd, 1);
@@ -147,8 +147,8 @@
 
 /* --- reads and writes */
 
-/* recv(2), send(2) and tcp(7): a signal, no memory, or a connection that has broken, which stays dead.
- * 0, or -1 with errno set. */
+/* recv(2), send(2) and tcp(7): a signal, no memory, or a broken connection, which is shut down so that it stays
+ * broken. Returns 0, or -1 with errno set. */
 static int inject_transfer_failure(int fd) {
     if (INJECTS(interrupted_calls))
         return FAIL_WITH(EINTR);
@@ -161,14 +161,14 @@
     return 0;
 }
 
-/* A message for recvmsg or sendmsg, with a first buffer of its own for the case that it is cut short. */
+/* A message for recvmsg or sendmsg; `first` is its only buffer if the transfer is short. */
 struct transfer {
     struct msghdr message;
     struct iovec first;
 };
 
-/* Inject into recvmsg(2) or sendmsg(2): a failure, or a transfer of a part of the first buffer, as both may return
- * with less than was asked for. 0, or -1 with errno set. */
+/* recvmsg(2) and sendmsg(2): a failure as above, or a short transfer, of a part of the first buffer.
+ * Returns 0, or -1 with errno set. */
 static int inject_into_transfer(int fd, const struct msghdr *message, struct transfer *transfer) {
     transfer->message = *message;
     if (inject_transfer_failure(fd) < 0)
@@ -184,13 +184,13 @@
     return 0;
 }
 
-/* Move a time of the machine's wall clock to that of the process. */
+/* Convert a time of the machine's wall clock to the stepped one of the process. */
 static void shift_wall_clock(struct timespec *time) {
     double at_s = (double)time->tv_sec + (double)time->tv_nsec / 1e9;
     time->tv_sec += (time_t)(at_s < control->step_at_unix_s ? control->offset_before_s : control->offset_after_s);
 }
 
-/* socket(7), SO_TIMESTAMPNS: the kernel's receive timestamps are of the wall clock, so that they step with it. */
+/* socket(7), SO_TIMESTAMPNS: the kernel's receive timestamps are of the wall clock, so they step with it. */
 static void shift_timestamps(struct msghdr *message) {
     for (struct cmsghdr *part = CMSG_FIRSTHDR(message); part; part = CMSG_NXTHDR(message, part)) {
         if (part->cmsg_level == SOL_SOCKET && part->cmsg_type == SCM_TIMESTAMPNS) {
@@ -202,7 +202,7 @@
     }
 }
 
-/* recvmsg(2): as `inject_into_transfer` says, and timestamps by the stepped clock. */
+/* recvmsg(2): as `inject_into_transfer` says, with timestamps of the stepped clock. */
 ssize_t recvmsg(int fd, struct msghdr *message, int flags) {
     REAL(recvmsg);
     struct transfer transfer;
--- a/soak/site.py
+++ b/soak/site.py
@@ -1,7 +1,7 @@
-"""The site that a run plays: request classes, workers and limits.
+"""The simulated site: request classes, workers and limits.
 
-Routers get these figures in their configuration, workers behave by them, and the checker holds the routers to
-them.
+Routers have these figures in their configuration, workers behave accordingly, and the checker verifies that
+routers respect them.
 """
 
 from function_router.decisions.types import RetrySafety
@@ -27,8 +27,8 @@
 SLOW_START_S = 5.0
 SLOW_START_INITIAL = 0.1  # the share of its capacity that a worker may get at its start
 OVERLOAD_WINDOW_S = 1.0
-OVERLOAD_MULTIPLE = 1.5  # of its share in slow start, beyond which a worker is overloaded
+OVERLOAD_MULTIPLE = 1.5  # of the slow start share of its capacity; more is an overload
 
 START_ORDER_WINDOW_S = 5.0
-START_ORDER_BURST = 2  # in a window, whatever the requests in it
+START_ORDER_BURST = 2  # start orders in a window, however few requests it has
 START_ORDERS_PER_REQUEST = 0.3
--- a/soak/thrift_client.py
+++ b/soak/thrift_client.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientAnswer:
-    """An answer, with the body of one that was served; `at` is in monotonic seconds."""
+    """An answer at a monotonic time in seconds; `body` is empty unless a worker served it."""
 
     kind: AnswerKind
     at: float
@@ -117,7 +117,7 @@
         return self._next_seqid - 1
 
     def send(self, data: bytes) -> None:
-        """Write bytes."""
+        """Send bytes."""
         self.last_used = time.monotonic()
         self._writer.write(data)
 
@@ -150,7 +150,7 @@
         self._writer.close()
 
     def _take_answers(self, buffer: bytearray) -> None:
-        """Take whole messages from the front of the buffer, and complete the futures of their requests."""
+        """Remove complete messages from the buffer, and resolve the futures of their requests."""
         while len(buffer) >= _SIZE.size:
             (size,) = _SIZE.unpack_from(buffer)
             if len(buffer) < _SIZE.size + size:
@@ -173,7 +173,7 @@
 
 
 def _retrieve_exception(future: asyncio.Future[ClientAnswer]) -> None:
-    """Mark a failure as seen: asyncio would log it where nobody waits for the answer any more."""
+    """Mark a failure as retrieved: asyncio would log it if nobody awaits the answer any more."""
     if not future.cancelled():
         future.exception()
 
--- a/soak/traffic.py
+++ b/soak/traffic.py
@@ -1,4 +1,4 @@
-"""Control of the clients' process: how many requests it sends, and to which routers."""
+"""Controls the clients' process: how many requests it sends, and to which routers."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 
 
 class Traffic:
-    """Drives the clients; each change takes effect at once, and leaves all else as it was."""
+    """Controls the clients; each change takes effect at once, and leaves everything else as it was."""
 
     def __init__(self, process: ModuleProcess, router_count: int) -> None:
         self._process = process
@@ -20,7 +20,7 @@
         await self._change(ports=list(ports), requests_per_s=requests_per_s)
 
     async def stop(self) -> None:
-        """Start no more requests and no more bad clients."""
+        """Stop starting requests and bad clients."""
         await self._change(requests_per_s=0.0, bad_clients_per_s=0.0)
 
     async def set_request_rate(self, requests_per_s: float) -> None:
@@ -28,7 +28,7 @@
         await self._change(requests_per_s=requests_per_s)
 
     async def set_bad_client_rate(self, bad_clients_per_s: float) -> None:
-        """Change how many clients break the protocol."""
+        """Change the rate of clients that violate the protocol."""
         await self._change(bad_clients_per_s=bad_clients_per_s)
 
     async def use_router(self, router: int, port: int) -> None:
--- a/soak/worker.py
+++ b/soak/worker.py
@@ -47,7 +47,7 @@
         return JOINED_COLD_START if self._starting else COLD_START
 
     async def ensure(self, count: int) -> None:
-        """Start instances, one after the other, until there are so many."""
+        """Start instances, one after the other, until there are `count`."""
         while self.count < count:
             if self._starting is None or self._starting.done():
                 self._starting = asyncio.create_task(self._start_one())
@@ -83,7 +83,7 @@
         self._functions: dict[str, FunctionInstances] = {}
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the frames of one connection until it ends, which cancels all that runs for it."""
+        """Answer the frames of one connection until it ends; that cancels everything it has requested."""
         frame_reader = frames.FrameReader(frames.FROM_ROUTER)
         tasks: dict[bytes, asyncio.Task[None]] = {}
         try:
--- a/soak/worker_rules.py
+++ b/soak/worker_rules.py
@@ -10,11 +10,11 @@
 from soak.run_record import RouterIncarnation, WorkerIncarnation
 
 DRAIN_GRACE_S = 1.0 + 0.05  # after the notification of a drain
-START_ORDER_TOLERANCE = 1.15  # times the rate limit, and one more
-NOTIFIED_SHARE = 2 / 3  # a slow start is violated where more of the window came from notified routers
+START_ORDER_TOLERANCE = 1.15  # times the rate limit, plus one
+NOTIFIED_SHARE = 2 / 3  # of a window; an overload counts if more of it came from notified routers
 
-# Sampling noise that is allowed on top of the budget of a worker in slow start, in standard deviations and
-# requests: a small budget gets a wider margin.
+# Sampling noise on top of the budget of a worker in slow start: so many standard deviations, plus as many
+# requests. A small budget gets a wider margin.
 SMALL_BUDGET = 30.0
 SMALL_BUDGET_DEVIATIONS = 3
 LARGE_BUDGET_DEVIATIONS = 2
@@ -53,7 +53,7 @@
 
 
 def _new_work(history: RunHistory, worker: int) -> list[tuple[float, int]]:
-    """When new work began to arrive at a worker slot, and from which router, in order."""
+    """The times at which new work began to arrive at a worker slot, with the router it came from; sorted."""
     attempts = [(each.first_byte_at, each.router) for each in history.attempts if each.worker == worker]
     orders = [
         (each.first_byte_at, each.router)
@@ -85,7 +85,7 @@
 
 
 def slow_start_limit(age_s: float) -> float:
-    """How many requests a worker of this age may get in an overload window, sampling noise included."""
+    """The most requests that a worker of this age may get in a window, including sampling noise."""
     share = min(1.0, site.SLOW_START_INITIAL + (1 - site.SLOW_START_INITIAL) * age_s / site.SLOW_START_S)
     budget = site.OVERLOAD_MULTIPLE * share * site.WORKER_CAPACITY_RPS * site.OVERLOAD_WINDOW_S
     deviations = SMALL_BUDGET_DEVIATIONS if budget < SMALL_BUDGET else LARGE_BUDGET_DEVIATIONS
@@ -93,7 +93,7 @@
 
 
 def _check_start_orders(history: RunHistory) -> Iterator[Violation]:
-    """No more start orders in a window than its burst and the requests in it allow."""
+    """No more start orders in a window than the burst and the share of its requests allow."""
     sent_times = history.sent_times_by_router()
     for incarnation in history.record.router_incarnations:
         sent = sent_times.get(incarnation.router, [])
--- a/soak/worker_slot.py
+++ b/soak/worker_slot.py
@@ -1,4 +1,4 @@
-"""A worker slot of the cluster: an address at the proxy, behind which worker processes follow each other."""
+"""A worker slot of the cluster: an address at the proxy, and the worker processes behind it over time."""
 
 import asyncio
 import time
@@ -10,13 +10,13 @@
 
 
 class WorkerSlot:
-    """One slot: its present worker process, and its incarnations so far.
+    """One slot: its current worker process, and its incarnations so far.
 
     It owns the processes; the cluster has it clean up at the end of the run.
 
     Attributes:
         number: which of the cluster's slots it is.
-        incarnations: oldest first, with the present one last.
+        incarnations: oldest first, with the current one last.
     """
 
     def __init__(self, number: int, proxy: ModuleProcess) -> None:
@@ -29,16 +29,16 @@
 
     @property
     def incarnation(self) -> WorkerIncarnation:
-        """The present or, while there is none, the last incarnation."""
+        """The current incarnation or, while there is none, the last one."""
         return self.incarnations[-1]
 
     @property
     def process(self) -> ModuleProcess:
-        """The process of the present incarnation."""
+        """The process of the current incarnation."""
         return self._processes[-1]
 
     def endpoint(self, phase: EndpointPhase) -> Endpoint:
-        """The present worker as an endpoint event publishes it."""
+        """The current worker as an endpoint event describes it."""
         return Endpoint(self.incarnation.name, self.number, phase, self._started_at_ms)
 
     async def start(self, name: str, *, is_in_slow_start: bool) -> None:
@@ -61,11 +61,11 @@
         await self.refuse_connections()
 
     async def forward(self, *, corrupted_share: float = 0.0, reset_connections: bool = False) -> None:
-        """Have the proxy forward to the present process.
+        """Have the proxy forward to the current process.
 
         Args:
-            corrupted_share: the share of the worker's bytes that the proxy corrupts, by reads.
-            reset_connections: whether it first resets the connections that are open.
+            corrupted_share: the share of reads from the worker that the proxy corrupts.
+            reset_connections: whether it resets the connections that are open now.
         """
         await self._proxy.send_command(
             ProxyCommand(self.number, self._port, corrupted_share, reset_connections=reset_connections)
