--- a/tests/helpers/__init__.py
+++ b/tests/helpers/__init__.py
@@ -4,9 +4,14 @@
 
 - What the router decides: `decision_harness.DecisionHarness`, a `Router` of the decision module that the
   test feeds with events. There are no sockets, and the test moves the clock.
+- One part of `net/` by itself: the fixtures of `tests/net/conftest.py`, an event loop and accepted sockets
+  with their peers. `tcp_connections` has what they need, and `pending_requests` makes requests that no client
+  waits for.
 - How the parts of `net/` work together: `process_harness.ProcessHarness`, a whole router process in the
-  thread of the test, with real loopback sockets. The fixture `start_router` makes one. `exchanges` builds
-  what a test hands to the worker pool without the decision module.
+  thread of the test, with real loopback sockets. The fixtures `worker`, `harness` and `client` are one
+  worker, a router that knows it and a client that the router has accepted; `start_router` makes any other
+  router.
+  `exchanges` builds what a test hands to the worker pool without the decision module.
 - The program from the outside (its commands, signals and exit statuses): `program_launcher.ProgramLauncher`,
   which starts processes. The fixture `programs` is one.
 
