--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -39,6 +39,12 @@
     assert "SendRequest(request_id='r1'" in capsys.readouterr().out
 
 
+def test_ci_runs_the_check_that_the_readme_names():
+    [check] = [line for line in (ROOT / "README.md").read_text().splitlines() if "pytest" in line]
+
+    assert (ROOT / ".ci" / "run").read_text().splitlines()[-1] == check.strip()
+
+
 @each_page
 def test_files_that_a_page_names_exist(page):
     files = [path for folder in FOLDERS for path in (ROOT / folder).rglob("*.*")]
