--- a/function_router/decisions/actions.py
+++ b/function_router/decisions/actions.py
@@ -34,7 +34,7 @@
 
 
 class EnsureInstances(Struct, frozen=True):
-    """Order a worker to have at least so many instances of a function, or just ask how many it has.
+    """Order a worker to have at least this many instances of a function, or just ask how many it has.
 
     With 0 instances this is a probe, otherwise a start order.
     """
--- a/function_router/decisions/capacity.py
+++ b/function_router/decisions/capacity.py
@@ -22,8 +22,8 @@
 # Capacity of a worker, in requests in flight, if there are no quotas to derive it from.
 DEFAULT_WORKER_CAPACITY = 4.0
 
-# Least limit of own requests in flight at a worker. With many routers it is two: their computed limits are
-# below one, and a single request that is slow or lost would block the worker.
+# A worker's limit of own requests in flight is never below this. With many routers, most of the computed
+# limits are below one.
 MIN_IN_FLIGHT = 1.0
 MIN_IN_FLIGHT_OF_MANY = 2.0
 
--- a/function_router/decisions/circuit_breakers.py
+++ b/function_router/decisions/circuit_breakers.py
@@ -4,7 +4,7 @@
 from function_router.decisions.workers import WorkerTable
 from function_router.limits import CircuitBreaker
 
-# This many failures open a breaker: a single one may be the fault of the request.
+# This many failures of a class at a worker open its breaker.
 FAILURES_TO_OPEN = 2.0
 
 # After a success, this fraction of the failures is kept.
@@ -24,8 +24,7 @@
     def is_open(self, worker: Worker, class_name: str, now_ms: float) -> bool:
         """Whether requests of a class are kept from a worker.
 
-        They aren't if the breakers of most workers are open: the fault is then more likely to be in the
-        requests.
+        They aren't if the breakers of most workers are open, like beyond Envoy's panic threshold.
         """
         breaker = worker.breakers.get(class_name)
         if breaker is None or not breaker.is_open(now_ms):
--- a/function_router/decisions/dispatch.py
+++ b/function_router/decisions/dispatch.py
@@ -97,7 +97,7 @@
     def _find_worker(self, function: Function, request: Request, now_ms: float) -> Worker | None:
         """The first candidate below its load bound that may take a request; else the least loaded one."""
         limit_fraction = self._admission.limit_fraction(request, now_ms)
-        # A hedge may use the whole limit on attempts in flight: its budget limits it already.
+        # A hedge may use the whole limit on attempts in flight, but only a fraction of a worker's limit.
         in_flight_fraction = 1.0 if request.has_attempt_in_flight() else limit_fraction
         if self._admission.is_at_limit(in_flight_fraction):
             return None
--- a/function_router/decisions/feedback.py
+++ b/function_router/decisions/feedback.py
@@ -61,7 +61,7 @@
         self._health.breakers.record_success(attempt)
 
     def _record_full_queue(self, attempt: Attempt, now_ms: float) -> None:
-        """Keep the function's requests from the worker for about a run, so that its queue can drain."""
+        """Keep the function's requests from the worker for about a run, as its queue is full."""
         pool = attempt.function.pools[attempt.worker.id]
         pool.blocked_until_ms = now_ms + self._durations.median_run_ms(attempt.function, now_ms)
         self._health.record_slowdown(attempt.worker, FULL_QUEUE_SLOWDOWN, now_ms)
--- a/function_router/decisions/health.py
+++ b/function_router/decisions/health.py
@@ -24,8 +24,8 @@
 # An attempt, or a silent worker, is overdue after this many median runs.
 OVERDUE_RUNS = 3.0
 
-# An attempt is presumed lost after this many. With many routers, a silent worker is pinged only then: to each
-# router, most workers are silent most of the time.
+# An attempt is presumed lost after this many. With many routers, a silent worker is pinged only then; until
+# then, it is just not preferred.
 LOST_RUNS = 8.0
 
 # A worker that doesn't answer a ping for this long is unresponsive.
@@ -64,7 +64,7 @@
     def is_usable(self, worker: Worker, class_name: str, now_ms: float) -> bool:
         """Whether a worker may get new requests of a class.
 
-        Unresponsive workers may if most workers are: the fault is then more likely to be this router's.
+        If most workers are unresponsive, all count as responsive, like beyond Envoy's panic threshold.
         """
         if worker.endpoint.state != WorkerState.READY:
             return False
@@ -129,8 +129,8 @@
     def record_slowdown(self, worker: Worker, factor: float, now_ms: float) -> None:
         """Record that a run took `factor` times the usual.
 
-        With many routers, long runs are the sign of load from other routers. A slow worker is not preferred
-        for a while: for as long as its slowdown would take to decay to the threshold.
+        With many routers, long runs show the load from the other routers. A slow worker is not preferred
+        until its slowdown would have decayed to the threshold over the statistics window.
         """
         worker.slowdown += SLOWDOWN_GAIN * (factor - worker.slowdown)
         if self._capacity.many_routers and worker.slowdown > SLOW_RUN_FACTOR:
--- a/function_router/decisions/placement.py
+++ b/function_router/decisions/placement.py
@@ -33,8 +33,8 @@
 # workers past the factor above.
 FAR_SEND_SHARE_FACTOR = 2.0
 
-# The fan-out gives each preferred worker, on average, requests for at most this many instances, and for at
-# most this fraction of its capacity: the rest is for uneven arrivals and for other functions.
+# The fan-out is chosen so that, on average, each preferred worker has requests for at most this many
+# instances, and for at most this fraction of its capacity.
 FANOUT_SLOT_FRACTION = 1.2
 FANOUT_CAPACITY_FRACTION = 0.6
 
--- a/function_router/decisions/retries.py
+++ b/function_router/decisions/retries.py
@@ -38,7 +38,7 @@
         self._hedge_budget = min(MAX_HEDGE_BUDGET, self._hedge_budget + HEDGES_PER_REQUEST)
 
     def record_answer(self, request: Request, attempt: Attempt) -> None:
-        """Refund a hedge that was answered before the first attempt: it was worth its cost."""
+        """Refund a hedge to the budget if it was answered while the first attempt is still in flight."""
         first = request.attempts[0]
         if attempt is not first and first.in_flight:
             self._hedge_budget += 1
--- a/function_router/decisions/router.py
+++ b/function_router/decisions/router.py
@@ -206,7 +206,7 @@
             request.deadline_ms = min(request.deadline_ms, now_ms + event.within_ms)
 
     def _refresh(self, now_ms: float) -> None:
-        """Forget what is long past, and work the limits out anew."""
+        """Recompute the limits, and now and then forget what is no longer used."""
         if now_ms - self._forgot_ms >= FORGET_INTERVAL_MS:
             self._forgot_ms = now_ms
             self.fleet.forget_unused(now_ms)
--- a/function_router/decisions/speculation.py
+++ b/function_router/decisions/speculation.py
@@ -10,9 +10,9 @@
 class Speculation:
     """Turns the switch of each function, which is on at first.
 
-    It goes off once a speculative instance idles for longer than a run (Ti > Te): a busy one came free
-    before the start was worth it. It goes on again once requests wait for longer than a start takes (Td >
-    Tp).
+    It goes off once a speculative instance idles for longer than a run takes (Ti > Te), as the request
+    could have waited for a busy one. It goes on again once requests wait for longer than a start takes (Td
+    > Tp).
     """
 
     def __init__(self, durations: Durations) -> None:
--- a/function_router/decisions/start_orders.py
+++ b/function_router/decisions/start_orders.py
@@ -45,8 +45,7 @@
     ) -> bool:
         """Whether an instance may be started at a worker now.
 
-        A speculative start also needs free capacity there: without it, the request is better off waiting
-        for a busy instance.
+        A speculative start also needs free capacity there.
         """
         pool = function.pools.get(worker.id)
         if pool and (pool.start_ordered_ms is not None or now_ms < pool.blocked_until_ms):
