--- a/function_router/decisions/admission.py
+++ b/function_router/decisions/admission.py
@@ -35,6 +35,10 @@
 GIVE_UP_FRACTION = 0.5
 
 
+# Sort key of queued requests: over quota, will miss its objective, time of arrival, id.
+Urgency = tuple[bool, bool, float, str]
+
+
 class Admission:
     """Decides which requests are served first, and which are not worth serving any more."""
 
@@ -88,7 +92,7 @@
         """Whether the next firing of the timer may be too late for the final answer."""
         return now_ms + TIMER_INTERVAL_MS + ANSWER_LEAD_MS >= request.deadline_ms
 
-    def urgency(self, request: Request, now_ms: float) -> tuple[bool, bool, float, str]:
+    def urgency(self, request: Request, now_ms: float) -> Urgency:
         """Sort key of queued requests: the least one is served first."""
         will_miss = self.will_miss_objective(request, now_ms)
         return request.over_quota, will_miss, request.arrived_ms, request.id
--- a/function_router/decisions/dispatch.py
+++ b/function_router/decisions/dispatch.py
@@ -1,7 +1,7 @@
 """Dispatch: the queues of functions, and the one place that sends requests."""
 
 from function_router.decisions.actions import SendRequest
-from function_router.decisions.admission import Admission
+from function_router.decisions.admission import Admission, Urgency
 from function_router.decisions.fleet import Fleet
 from function_router.decisions.outbox import Outbox
 from function_router.decisions.records import Attempt, Function, Request, Worker
@@ -64,7 +64,7 @@
         self._dispatch_by_urgency(queued, now_ms)
 
     def _dispatch_by_urgency(self, functions: list[Function], now_ms: float) -> None:
-        def urgency(function: Function) -> tuple[bool, bool, float, str]:
+        def urgency(function: Function) -> Urgency:
             return min(self._admission.urgency(request, now_ms) for request in function.queue)
 
         for function in sorted(functions, key=urgency):
--- a/function_router/decisions/settings.py
+++ b/function_router/decisions/settings.py
@@ -1,5 +1,8 @@
 """The settings of a router's decisions, which are fixed at its start. Nothing is decided here.
 
+Some are read from the configuration, but no decision uses them: `priority_weight`, `late_value_share`, `zone`
+and `starts_on_request`.
+
 Times are milliseconds. `function_router.config` maps them to the keys of the configuration.
 """
 
--- a/tests/decisions/test_instances.py
+++ b/tests/decisions/test_instances.py
@@ -63,7 +63,7 @@
     harness.report_instances(warm_worker, 3)
     harness.now_ms += 1.0
     [send] = actions_of(harness.request("r", concurrency=2), SendRequest)
-    if is_reported_later:  # newer than what the answer to the send tells
+    if is_reported_later:  # more recent than the send
         harness.now_ms += 1.0
         harness.report_instances(warm_worker, 3)
 
--- /dev/null
+++ b/tests/decisions/test_layers.py
@@ -0,0 +1,48 @@
+"""The layers of the decisions, as the table in the package's docstring has them."""
+
+import ast
+import re
+from pathlib import Path
+
+import pytest
+
+from function_router import decisions
+
+FOLDER = Path(decisions.__file__).parent
+PREFIX = "function_router.decisions"
+SHARED = ["settings", "events", "actions", "types"]  # which every part may use
+
+# The table's first column: names at four spaces of indent, separated by commas.
+ROWS = re.findall(r"^ {4}(\w+(?:, \w+)*) {2,}\S", decisions.__doc__, re.MULTILINE)
+TABLE = [name for row in ROWS for name in row.split(", ")]
+
+
+def imported_parts(name):
+    """The modules of the decisions that a module of them imports, at the top or elsewhere."""
+    modules = set()
+    for node in ast.walk(ast.parse((FOLDER / f"{name}.py").read_text())):
+        if isinstance(node, ast.Import):
+            modules |= {alias.name for alias in node.names}
+        elif isinstance(node, ast.ImportFrom) and node.module == PREFIX:
+            modules |= {f"{PREFIX}.{alias.name}" for alias in node.names}
+        elif isinstance(node, ast.ImportFrom):
+            modules.add(node.module)
+    return {module.removeprefix(PREFIX + ".") for module in modules if module.startswith(PREFIX)}
+
+
+def test_table_names_each_module_once():
+    modules = {path.stem for path in FOLDER.glob("*.py")} - {"__init__"}
+
+    assert sorted(TABLE + SHARED) == sorted(modules)
+
+
+@pytest.mark.parametrize("name", TABLE)
+def test_part_imports_only_parts_that_come_after_it_in_the_table(name):
+    allowed = {*TABLE[TABLE.index(name) + 1 :], *SHARED}
+
+    assert imported_parts(name) <= allowed
+
+
+@pytest.mark.parametrize("name", SHARED)
+def test_shared_declarations_import_no_part(name):
+    assert imported_parts(name) <= set(SHARED)
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -76,7 +76,7 @@
 
 def test_router_without_a_known_instance_probes_the_worker_with_headroom_that_all_routers_probe_first():
     harness = one_of_many_routers(40)
-    for turn in range(40):  # so many that the function spreads
+    for turn in range(40):  # enough for a fan-out of more than one worker
         harness.now_ms += 100.0
         for send in harness.complete_starts(harness.request(f"r{turn}", "hot", concurrency=2)):
             harness.end_attempt(send)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -94,7 +94,7 @@
 
     capacity_rps = QUOTA_RPS / WORKERS
     budget = OVERLOAD_MULTIPLE * SLOW_START_INITIAL * (WINDOW_MS / 1000) * capacity_rps
-    assert before.count(busiest) > budget  # spent before anybody knew
+    assert before.count(busiest) > budget  # spent before the notification
     assert after.count(busiest) == 0
 
 
@@ -123,13 +123,13 @@
 
 
 def restart(workers, now_ms):
-    """The complete list of endpoints: so many workers, all of them just started."""
+    """The complete endpoint list: this many workers, all just started."""
     endpoints = [Endpoint(worker_id, started_at_ms=now_ms) for worker_id in range(1, workers + 1)]
     return EndpointsChanged(endpoints, is_complete=True)
 
 
 def send_request(harness, request_id, function="f"):
-    """Let a request arrive; its sends, once all starts are complete."""
+    """Let a request arrive, and complete all starts; returns its sends."""
     return harness.complete_starts(harness.request(request_id, function))
 
 
@@ -164,7 +164,7 @@
             harness.now_ms += 100.0
             sent_to += [send.worker_id for send in send_request(harness, f"r{number}")]
 
-    # 100 routers with ten requests each in the second, over 20 workers: what a worker can be held to do
+    # 100 routers with ten requests each in the second, over 20 workers
     requests_per_worker = 100 * 10 / 20
     assert 0 < most_sends_to_a_worker(sent_to) <= 2.0 * 0.28 * requests_per_worker
 
--- a/tests/helpers/decision_harness.py
+++ b/tests/helpers/decision_harness.py
@@ -24,12 +24,12 @@
 )
 AT_MOST_ONCE = RequestClass("at-most-once", 1000.0, 4000.0, RetrySafety.AT_MOST_ONCE)
 
-TIMER_STEP_MS = 20  # between two firings of the router's timer, finer than the router asks for
-RUN_MS = 100.0  # that each attempt and each start order is said to have taken
+TIMER_STEP_MS = 20  # interval of the timer, shorter than the router asks for
+RUN_MS = 100.0  # reported duration of each attempt and each start order
 
-MANY_ROUTERS_WORKERS = 20  # that many routers share
-MANY_ROUTERS_TENANT = "t"  # their one tenant, and its quota over all of them
-MANY_ROUTERS_QUOTA_RPS = 100.0
+MANY_ROUTERS_WORKERS = 20  # shared by the routers of `many_routers`
+MANY_ROUTERS_TENANT = "t"  # the one tenant of all of them
+MANY_ROUTERS_QUOTA_RPS = 100.0  # its quota over all of them
 
 
 class LoggedAction(NamedTuple):
@@ -42,7 +42,7 @@
 class DecisionHarness:
     """One router, its clock, and all actions that it has decided so far.
 
-    The methods that feed an event return the actions that the router answers it with.
+    The methods that feed an event return the actions that the router decides on.
     """
 
     def __init__(self, workers=4, zones=("a",), seed=1, tenant="", **settings):
@@ -60,13 +60,13 @@
         self.feed(EndpointsChanged(self.endpoints, is_complete=True))
 
     def feed(self, *events):
-        """Hand the router a batch of events of this moment."""
+        """Hand the router a batch of events at the present time."""
         actions = self.router.handle(self.now_ms, list(events))
         self.action_log += [LoggedAction(self.now_ms, action) for action in actions]
         return actions
 
     def run_timer_until(self, until_ms):
-        """Move the clock to a moment and fire the timer on the way there."""
+        """Move the clock on to this time, and fire the timer on the way."""
         actions = []
         while self.now_ms + TIMER_STEP_MS <= until_ms:
             self.now_ms += TIMER_STEP_MS
@@ -99,11 +99,11 @@
         )
 
     def report_instances(self, worker_id, instances, function="f", outcome=Outcome.OK):
-        """Let a worker answer a probe or a start order with the number of instances that stand there."""
+        """Let a worker answer a probe or a start order with the number of instances that it has."""
         return self.feed(InstancesReported(worker_id, function, outcome, instances, 1.0))
 
     def answer_probes(self, actions, instances_by_worker=None):
-        """Answer each probe among the actions; by default, no instance stands anywhere.
+        """Answer each probe among the actions; by default, no worker has an instance.
 
         Returns:
             The start orders among the actions, and all actions that follow from the answers.
@@ -198,7 +198,7 @@
 
 
 def probes(actions):
-    """The orders that only ask how many instances stand."""
+    """The orders that only ask how many instances there are."""
     return [order for order in actions_of(actions, EnsureInstances) if order.instances == 0]
 
 
@@ -208,12 +208,12 @@
 
 
 def many_routers(count, **settings):
-    """Harnesses of routers that share their workers and a tenant, and differ in their seeds only."""
+    """Harnesses of `count` routers that share workers and a tenant, and differ only in their seeds."""
     return [_router_of_many(number, count, **settings) for number in range(count)]
 
 
 def one_of_many_routers(count, **settings):
-    """The first of so many routers; the others stay unseen."""
+    """The harness of one of `count` routers; the others are not simulated."""
     return _router_of_many(0, count, **settings)
 
 
