--- a/function_router/decisions/admission.py
+++ b/function_router/decisions/admission.py
@@ -84,12 +84,16 @@
             request.deadline_ms - request.arrived_ms
         )
 
-    def arrived_too_late(self, request: Request, now_ms: float) -> bool:
+    def must_answer_on_arrival(self, request: Request, now_ms: float) -> bool:
         """Whether a new request can't wait for the timer, as with a client's last retry."""
         return request.deadline_ms - now_ms <= TIMER_INTERVAL_MS + ANSWER_LEAD_MS
 
-    def must_answer_now(self, request: Request, now_ms: float) -> bool:
-        """Whether the next firing of the timer may be too late for the final answer."""
+    def must_answer_on_timer(self, request: Request, now_ms: float) -> bool:
+        """Whether the next firing of the timer may be too late for the final answer.
+
+        Not written as a difference as on arrival: deadlines are often due at just this time, and sums and
+        differences round differently.
+        """
         return now_ms + TIMER_INTERVAL_MS + ANSWER_LEAD_MS >= request.deadline_ms
 
     def urgency(self, request: Request, now_ms: float) -> Urgency:
--- a/function_router/decisions/circuit_breakers.py
+++ b/function_router/decisions/circuit_breakers.py
@@ -31,7 +31,7 @@
             return False
         ready = self._workers.ready
         breakers = (other.breakers[class_name] for other in ready if class_name in other.breakers)
-        open_count = sum(other.is_waiting(now_ms) for other in breakers)
+        open_count = sum(other.has_open_time_left(now_ms) for other in breakers)
         return open_count * 2 <= len(ready)
 
     def is_tripped(self, worker: Worker, class_name: str) -> bool:
@@ -49,7 +49,12 @@
         """Record a failure, which may open the breaker."""
         breaker = worker.breakers.get(class_name)
         if breaker is None:
-            breaker = CircuitBreaker(FAILURES_TO_OPEN, FAILURES_KEPT, OPEN_MS, MAX_OPEN_MS)
+            breaker = CircuitBreaker(
+                threshold=FAILURES_TO_OPEN,
+                kept_fraction=FAILURES_KEPT,
+                open_ms=OPEN_MS,
+                max_open_ms=MAX_OPEN_MS,
+            )
             worker.breakers[class_name] = breaker
         breaker.record_failure(now_ms)
 
--- a/function_router/decisions/retries.py
+++ b/function_router/decisions/retries.py
@@ -76,15 +76,15 @@
             self._hedge_budget -= 1
             self._dispatcher.enqueue(request, now_ms)
 
-    def presume_lost(self, now_ms: float) -> None:
+    def retry_lost_attempts(self, now_ms: float) -> None:
         """Count attempts that have been in flight for too long as failures of their workers.
 
         If that trips the circuit breaker, the request is sent again, provided that a slot is free elsewhere
         at once. Unresponsive workers are left out, as their requests have been retried already.
         """
         for attempt in list(self._requests.attempts.values()):
-            is_overdue = self._is_presumably_lost(attempt, now_ms)
-            if attempt.is_lost or not is_overdue or attempt.worker.unresponsive_since_ms is not None:
+            takes_too_long = self._takes_too_long(attempt, now_ms)
+            if attempt.is_lost or not takes_too_long or attempt.worker.unresponsive_since_ms is not None:
                 continue
             attempt.is_lost = True
             self._breakers.record_failure(attempt.worker, attempt.class_name, now_ms)
@@ -94,7 +94,7 @@
             if request not in attempt.function.queue and self._retry_policy.allows_attempt(request, now_ms):
                 self._dispatcher.send_at_once(request, now_ms)
 
-    def _is_presumably_lost(self, attempt: Attempt, now_ms: float) -> bool:
+    def _takes_too_long(self, attempt: Attempt, now_ms: float) -> bool:
         """Whether an attempt takes far longer than a run; less is enough if the breaker is tripped."""
         has_failures = self._breakers.is_tripped(attempt.worker, attempt.class_name)
         runs = OVERDUE_RUNS if has_failures else LOST_RUNS
--- a/function_router/decisions/router.py
+++ b/function_router/decisions/router.py
@@ -115,7 +115,7 @@
         self._retries.record_arrival()
         self.requests.by_id[request.id] = request
         self._dispatcher.enqueue(request, now_ms)
-        if self._admission.arrived_too_late(request, now_ms):
+        if self._admission.must_answer_on_arrival(request, now_ms):
             self._answers.finish(request)
         else:
             self._scaling.find_instances(function, request, now_ms)
@@ -187,7 +187,7 @@
                 self._answers.finish(request)
             elif capacity.many_routers and request.attempts and request not in request.function.queue:
                 self._retries.hedge_if_overdue(request, now_ms)
-        self._retries.presume_lost(now_ms)
+        self._retries.retry_lost_attempts(now_ms)
         self.requests.expire_recent_attempts(capacity.latency_objective_ms, now_ms)
         for worker in self.fleet.health.check_timeouts(now_ms):
             self._retries.retry_elsewhere(worker, now_ms)
@@ -199,7 +199,7 @@
     def _is_due(self, request: Request, now_ms: float) -> bool:
         """Whether a request gets the router's own final answer now."""
         gives_up = self._admission.should_give_up(request, now_ms)
-        return gives_up or self._admission.must_answer_now(request, now_ms)
+        return gives_up or self._admission.must_answer_on_timer(request, now_ms)
 
     def _on_drain_started(self, event: events.DrainStarted, now_ms: float) -> None:
         for request in self.requests.by_id.values():
--- a/function_router/decisions/start_order_limits.py
+++ b/function_router/decisions/start_order_limits.py
@@ -23,7 +23,10 @@
         self._arrivals = arrivals
         self._pending = 0
         self.pending_limit = AdaptiveLimit(
-            INITIAL_PENDING_ORDERS, MIN_PENDING_ORDERS, MAX_PENDING_ORDERS, PENDING_ORDERS_DECREASE
+            value=INITIAL_PENDING_ORDERS,
+            minimum=MIN_PENDING_ORDERS,
+            maximum=MAX_PENDING_ORDERS,
+            decrease=PENDING_ORDERS_DECREASE,
         )
         self.sent = SlidingWindow()  # when start orders were sent, or decided if they are not sent yet
 
--- a/function_router/limits.py
+++ b/function_router/limits.py
@@ -33,7 +33,7 @@
     __slots__ = ("_decrease", "_maximum", "_minimum", "value")
 
     def __init__(self, value: float, minimum: float, maximum: float, decrease: float) -> None:
-        """Start at `value`; a failure lowers the limit by the part `decrease` of it."""
+        """Start at `value`; a failure lowers the limit by the fraction `decrease` of it."""
         self.value = value
         self._minimum = minimum
         self._maximum = maximum
@@ -46,18 +46,25 @@
 
 
 class CircuitBreaker:
-    """Opens after some failures; a success takes back a part of them.
+    """Opens after some failures; a success takes back a fraction of them.
 
     Once its time is over, requests pass as trials. Each trial doubles the time for which it is open again,
     unless the trial succeeds and takes back enough of the failures.
     """
 
-    __slots__ = ("_failures", "_kept", "_max_open_ms", "_open_for_ms", "_open_until_ms", "_threshold")
-
-    def __init__(self, threshold: float, kept: float, open_ms: float, max_open_ms: float) -> None:
-        """Open at `threshold` failures, for `open_ms` at first; a success keeps the part `kept` of them."""
+    __slots__ = (
+        "_failures",
+        "_kept_fraction",
+        "_max_open_ms",
+        "_open_for_ms",
+        "_open_until_ms",
+        "_threshold",
+    )
+
+    def __init__(self, threshold: float, kept_fraction: float, open_ms: float, max_open_ms: float) -> None:
+        """Open at `threshold` failures, for `open_ms` at first; a success keeps this fraction of them."""
         self._threshold = threshold
-        self._kept = kept
+        self._kept_fraction = kept_fraction
         self._open_for_ms = open_ms
         self._max_open_ms = max_open_ms
         self._failures = 0.0
@@ -73,7 +80,7 @@
         """Whether less than one failure is counted, so that the breaker can be dropped."""
         return self._failures < 1
 
-    def is_waiting(self, now_ms: float) -> bool:
+    def has_open_time_left(self, now_ms: float) -> bool:
         """Whether the time for which it was opened last is not over, even if successes have closed it."""
         return self._open_until_ms > now_ms
 
@@ -88,8 +95,8 @@
             self._open_until_ms = max(self._open_until_ms, now_ms + self._open_for_ms)
 
     def record_success(self, *, was_failure: bool) -> None:
-        """Take back the one failure that this success was counted as before, or else a part of all."""
-        self._failures = self._failures - 1 if was_failure else self._failures * self._kept
+        """Take back the one failure that this success was counted as before, or else a fraction of all."""
+        self._failures = self._failures - 1 if was_failure else self._failures * self._kept_fraction
 
     def record_trial(self, now_ms: float) -> None:
         """Note that a request passes: a tripped breaker opens again at once, for twice as long."""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -15,7 +15,7 @@
     assert taken_later == [False, True, False]
 
 
-def test_token_bucket_holds_its_capacity_at_most():
+def test_token_bucket_holds_no_more_than_its_capacity():
     bucket = TokenBucket(now_ms=0.0, tokens=0.0)
 
     taken = [bucket.try_take(60_000.0, rate_per_s=10.0, capacity=3.0) for _ in range(4)]
@@ -28,7 +28,7 @@
     [(4.0, 10.0, 4.25, 2.125), (2.5, 2.6, 2.6, 2.0)],
     ids=["inside its bounds", "kept to its bounds"],
 )
-def test_adaptive_limit_rises_by_one_over_itself_and_falls_by_a_part(start, maximum, raised, lowered):
+def test_adaptive_limit_rises_by_one_over_itself_and_falls_by_a_fraction(start, maximum, raised, lowered):
     limit = AdaptiveLimit(start, 2.0, maximum, 0.5)
 
     limit.record(success=True)
@@ -40,7 +40,7 @@
 
 
 def breaker_with_failures(count, now_ms=0.0):
-    breaker = CircuitBreaker(threshold=2.0, kept=0.5, open_ms=100.0, max_open_ms=300.0)
+    breaker = CircuitBreaker(threshold=2.0, kept_fraction=0.5, open_ms=100.0, max_open_ms=300.0)
     for _ in range(count):
         breaker.record_failure(now_ms)
     return breaker
@@ -76,7 +76,7 @@
     assert not breaker.is_open(100.0)
 
 
-def test_success_keeps_a_part_of_the_failures():
+def test_success_keeps_a_fraction_of_the_failures():
     breaker = breaker_with_failures(3)
 
     breaker.record_success(was_failure=False)
@@ -87,7 +87,7 @@
     assert breaker.is_clear
 
 
-def test_late_success_takes_back_only_the_failure_that_it_was_held_to_be():
+def test_late_success_takes_back_only_the_failure_that_it_was_counted_as():
     breaker = breaker_with_failures(3)
 
     breaker.record_success(was_failure=True)
@@ -98,9 +98,9 @@
     assert not breaker.is_clear
 
 
-def test_circuit_breaker_waits_until_its_time_has_passed():
+def test_circuit_breaker_has_open_time_left_until_its_end():
     breaker = breaker_with_failures(2, now_ms=50.0)
 
-    assert breaker.is_waiting(149.0)
-    assert not breaker.is_waiting(150.0)
-    assert not breaker_with_failures(1).is_waiting(0.0)
+    assert breaker.has_open_time_left(149.0)
+    assert not breaker.has_open_time_left(150.0)
+    assert not breaker_with_failures(1).has_open_time_left(0.0)
