--- a/function_router/decisions/__init__.py
+++ b/function_router/decisions/__init__.py
@@ -22,6 +22,8 @@
     workers, functions, requests        tables: who owns the records, and when they are forgotten
     records                             workers, functions, instances, requests and attempts
     outbox                              actions that are not returned yet
+
+"Own" requests, attempts, sends and rates are those of this router, in contrast to those of all routers.
 """
 
 from function_router.decisions.router import Router
--- a/function_router/decisions/records.py
+++ b/function_router/decisions/records.py
@@ -41,18 +41,26 @@
     id: int
     endpoint: Endpoint
     hash: int  # of its id, for rendezvous hashing
+    removed_since_ms: float | None = None
+
+    # Capacity and load.
     machine_size: float = 1.0  # relative capacity of its machine; 1 for all where sizes are not known
     in_flight: int = 0  # own attempts
     max_in_flight: float = math.inf  # own attempts that it can work on, as of the last refresh of limits
     sends: DecayingCounter = field(default_factory=lambda: DecayingCounter(STATISTICS_WINDOW_MS))
+
+    # Slow start.
+    started_ms: float | None = None  # as notified, or as inferred when it came back without instances
     recent_sends: SlidingWindow = field(default_factory=SlidingWindow)  # within the overload window
     slow_start_sends: SlidingWindow = field(default_factory=SlidingWindow)  # those since its start
-    started_ms: float | None = None  # as notified, or as inferred when it came back without instances
-    last_function: "Function | None" = None  # the function that was last used there, which a ping probes
+
+    # Replies and pings.
     awaiting_reply_since_ms: float | None = None  # since when its silence counts, if it owes a reply
     pinged_ms: float | None = None  # when it was pinged, if it has not answered since
     unresponsive_since_ms: float | None = None
-    removed_since_ms: float | None = None
+    last_function: "Function | None" = None  # the function that was last used there, which a ping probes
+
+    # Slow runs and failures.
     slowdown: float = 1.0  # its run times as a multiple of the usual ones, a moving average
     slow_until_ms: float = -math.inf  # until then, it is slow and not preferred
     breakers: dict[str, CircuitBreaker] = {}  # by request class
@@ -72,12 +80,14 @@
     last_seen_ms: float = -math.inf  # when an instance last showed that it exists
     last_counted_ms: float = -math.inf  # when the worker last reported the count
     in_flight: int = 0  # own attempts
+    blocked_until_ms: float = -math.inf  # it gets neither attempts nor start orders before
+
+    # Probes and start orders.
     pending_probes: int = 0
     last_probed_ms: float = -math.inf
     start_ordered_ms: float | None = None  # when the pending start order was decided
     ordered_count: int = 0  # instances that the last start order asked for
     is_speculative: bool = False  # that order races a busy warm instance
-    blocked_until_ms: float = -math.inf  # it gets neither attempts nor start orders before
     unused_since_ms: float | None = None  # since when a speculative instance has been idle
     slots_before: int = 0  # slots that there were before that instance came
 
@@ -141,18 +151,22 @@
     hash: int  # of its name, for rendezvous hashing
     queue: list[Request] = []
     pools: dict[int, InstancePool] = {}  # by worker id
+    last_probed_ms: float = -math.inf  # at any worker
+
+    # Load and placement.
+    arrivals: ArrivalRate = field(default_factory=lambda: ArrivalRate(ARRIVAL_DECAY_MS, ARRIVAL_BURST))
+    estimated_in_flight: float = 0.0  # requests of all routers, estimated from answers
+    fanout: int = 1  # number of preferred workers
     hash_order: list[Worker] = []  # cached; see `Placement.hash_order`
-    hash_order_sizes: dict[int, float] | None = None
+    hash_order_sizes: dict[int, float] | None = None  # the workers and sizes for which it is cached
     known_workers: list[Worker] | None = None  # cached; see `Placement.known_workers`
+
+    # Waiting or starting.
     run_times: SlidingMedian = field(default_factory=new_median)  # the median is Te
     start_times: SlidingMedian = field(default_factory=new_median)  # the median is Tp
     queue_waits: SlidingMedian = field(default_factory=new_median)  # the median is Td
     idle_before_use_ms: float = 0.0  # Ti: of the last speculative instance that came into use
     speculates: bool = True  # whether cold starts may race busy warm instances
-    last_probed_ms: float = -math.inf  # at any worker
-    arrivals: ArrivalRate = field(default_factory=lambda: ArrivalRate(ARRIVAL_DECAY_MS, ARRIVAL_BURST))
-    fanout: int = 1  # number of preferred workers
-    estimated_in_flight: float = 0.0  # requests of all routers, estimated from answers
 
     def pool_at(self, worker: Worker) -> InstancePool:
         """The pool at a worker, added if missing. The function becomes the worker's last one."""
