--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -1,9 +1,10 @@
-"""Fixtures of tests that run single connections on an event loop, without a router."""
+"""Fixtures of the network tests: a router that queues, and single connections on an event loop."""
 
 import socket
 import time
 
 import pytest
+from helpers.fake_worker import FakeWorker
 from helpers.sockets import PATIENCE_S
 from helpers.tcp_connections import Peer
 
@@ -12,6 +13,12 @@
 from function_router.net.receive_timestamps import enable_receive_timestamps
 
 
+@pytest.fixture
+def queueing_harness(start_router):
+    """A router whose one worker never reports an instance, so that requests stay pending."""
+    return start_router(FakeWorker(instances=None))
+
+
 @pytest.fixture
 def log_lines():
     """What the event loop has logged."""
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Tests of one client connection: its messages, answers, timeouts and end."""
+"""Tests of one client connection: its end, its limits, its timeouts, and reads after a stall."""
 
 import gc
 import socket
@@ -16,7 +16,6 @@
 from function_router.net import (
     client_connection,
     client_messages,
-    client_session,
     clock,
     connection,
     router_process,
@@ -63,99 +62,10 @@
     return served.messages.is_overdue(now_ms, served.connection.last_received_ms)
 
 
-# --- malformed messages -------------------------------------------------------------------------
-
-
-def test_invalid_requests_get_an_exception(start_router):
-    harness = start_router(FakeWorker())
-    client = harness.connect_client()
-
-    client.send_request(class_name="unheard", seqid=1)
-    client.send_request(row="short", seqid=2)
-    client.send_request(body=b"x" * 17_000, seqid=3)
-    client.sock.sendall(encode_request(4, {}, b"x" * 100_000))
-    client.send_request(org="nobody", seqid=6)
-    client.send_request(ttl="9999999", seqid=7)
-    for seqid, concurrency in enumerate(("0", "-1", "0.5", "5000", "x", ""), 8):
-        client.send_request(props=f"memory_mb:512;lanes:{concurrency}", seqid=seqid)
-    client.send_request(seqid=5)
-    harness.run_until(lambda: len(client.answers) >= 12 and harness.table.pending, "all are read")
-
-    assert client.answer_kinds() == dict.fromkeys((1, 2, 3, 4, *range(6, 14)), "exception")
-    assert len(harness.table.pending) == 1
-
-
-def test_bytes_without_a_sequence_number_end_only_their_own_connection(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
-    malformed = harness.connect_client()
-    valid = harness.connect_client()
-
-    valid.send_request()
-    malformed.sock.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-    harness.run_until(lambda: malformed.is_closed and worker.requests, "one ends and one is sent")
-
-    assert not valid.is_closed
-
-
-def test_error_in_a_handler_ends_only_its_own_connection(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
-    failing = harness.connect_client()
-    other = harness.connect_client()
-
-    with mock.patch.object(client_session.ClientSession, "_on_handle", side_effect=KeyError("boom")):
-        failing.send_request()
-        harness.run_until(lambda: failing.is_closed, "the connection ends")
-    other.send_request()
-    harness.run_until(lambda: worker.requests, "the other client's request is sent")
-
-    assert "boom" in "".join(harness.log_lines)
-
-
-def test_request_over_the_limit_of_pending_ones_gets_an_exception(start_router):
-    harness = start_router(FakeWorker(instances=None))
-    client = harness.connect_client()
-
-    for _ in range(33):
-        client.send_request()
-    harness.run_until(lambda: client.answers, "one is answered")
-
-    assert client.answer_kinds() == {33: "exception"}
-    assert len(harness.table.pending) == 32
-
-
-def test_sequence_number_of_a_pending_request_used_again_ends_the_connection(start_router):
-    harness = start_router(FakeWorker(instances=None))
-    client = harness.connect_client()
-
-    client.send_request(seqid=5)
-    client.send_request(seqid=5)
-    harness.run_until(lambda: client.is_closed, "the connection ends")
-
-    assert (client.answer_kinds(), harness.table.pending) == ({5: "broken"}, {})
-
-
-def test_answers_before_a_malformed_message_reach_a_client_that_goes_on_sending(start_router):
-    harness = start_router(FakeWorker())
-    client = harness.connect_client()
-
-    client.request_status(1)
-    client.send_request(class_name="unheard", seqid=2)
-    client.send_request(seqid=3)
-    client.sock.setblocking(True)
-    client.sock.sendall(b"GET / HTTP/1.1\r\n" + b"x" * 300_000)
-    client.sock.setblocking(False)
-    harness.run_until(lambda: client.is_closed, "the connection ends")
-
-    assert client.answer_kinds() == {1: "answer", 2: "exception", 3: "broken"}
-
-
 # --- the end of a connection --------------------------------------------------------------------
 
 
-def test_closed_connection_is_freed_at_once_without_a_collection(cleanups, start_router):
-    harness = start_router(FakeWorker())
+def test_closed_connection_is_freed_at_once_without_a_collection(harness, cleanups):
     client = harness.connect_client()
     harness.round_trip(client)
     [served] = harness.router_process.listener.connections
@@ -207,8 +117,7 @@
 # --- clients that do not read -------------------------------------------------------------------
 
 
-def test_client_that_does_not_read_is_not_read_from_and_then_disconnected(start_router):
-    harness = start_router(FakeWorker())
+def test_client_that_does_not_read_is_not_read_from_and_then_disconnected(harness):
     client = harness.connect_client()
     harness.round_trip(client)
     [served] = harness.router_process.listener.connections
@@ -225,32 +134,30 @@
 
 
 @pytest.mark.parametrize("disconnects", [False, True], ids=["cancels", "disconnects"])
-def test_client_that_does_not_read_can_still_cancel_or_disconnect(start_router, disconnects):
-    harness = start_router(FakeWorker(instances=None))
-    client, served = connect_accepted_client(harness)
+def test_client_that_does_not_read_can_still_cancel_or_disconnect(queueing_harness, disconnects):
+    client, served = connect_accepted_client(queueing_harness)
     seqid = client.send_request()
-    harness.run_until(lambda: harness.table.pending, "the request is admitted")
+    queueing_harness.run_until(lambda: queueing_harness.table.pending, "the request is admitted")
     client.receive = lambda: None  # it reads no more
 
     with mock.patch.object(client_connection, "MAX_UNREAD_BYTES", 16 * 1024 * 1024):
         served.connection.write(b"x" * 12_000_000)
-        harness.router_process.loop.run_once(0)
+        queueing_harness.router_process.loop.run_once(0)
         assert served.connection.pending_bytes > client_connection.STOP_READING_BYTES
         if disconnects:
             client.sock.shutdown(socket.SHUT_WR)
         else:
             client.cancel(seqid)
         assert wait_readable(served.connection._sock)
-        harness.router_process.loop.run_once(0)
+        queueing_harness.router_process.loop.run_once(0)
 
-        assert not harness.table.pending
+        assert not queueing_harness.table.pending
 
 
 # --- timeouts -----------------------------------------------------------------------------------
 
 
-def test_silent_clients_and_partial_messages_time_out_but_served_clients_do_not(start_router):
-    harness = start_router(FakeWorker())
+def test_silent_clients_and_partial_messages_time_out_but_served_clients_do_not(harness):
     silent, partial, served, partial_after_message = (harness.connect_client() for _ in range(4))
     partial.sock.sendall(encode_request(1, {})[:9])
     served.request_status(1)
@@ -268,32 +175,30 @@
 
 
 @pytest.mark.parametrize("after_a_message", [False, True], ids=["first message", "later message"])
-def test_request_in_chunks_is_admitted_as_long_as_they_keep_coming(start_router, after_a_message):
-    harness = start_router(FakeWorker(instances=None))
-    client = harness.connect_client()
+def test_request_in_chunks_is_admitted_as_long_as_they_keep_coming(queueing_harness, after_a_message):
+    client = queueing_harness.connect_client()
     if after_a_message:
-        harness.round_trip(client)
-    served = harness.only_client_connection()
+        queueing_harness.round_trip(client)
+    served = queueing_harness.only_client_connection()
 
     client.send_request(withhold=50)
     for _ in range(5):
-        harness.run_until(lambda: served.connection.peek() is Unread.NOTHING, "a chunk is read")
+        queueing_harness.run_until(lambda: served.connection.peek() is Unread.NOTHING, "a chunk is read")
         served.messages._waiting_since_ms -= client_messages.MESSAGE_TIMEOUT_MS
-        harness.router_process.listener.check_timeouts()
+        queueing_harness.router_process.listener.check_timeouts()
         client.send_withheld(10)
 
-    harness.run_until(lambda: harness.table.pending, "the request is admitted")
+    queueing_harness.run_until(lambda: queueing_harness.table.pending, "the request is admitted")
 
 
-def test_message_that_has_come_in_several_chunks_may_pause_for_longer(start_router):
-    harness = start_router(FakeWorker(instances=None))
-    client = harness.connect_client()
+def test_message_that_has_come_in_several_chunks_may_pause_for_longer(queueing_harness):
+    client = queueing_harness.connect_client()
     client.send_request(withhold=50)
-    served = harness.only_client_connection()
+    served = queueing_harness.only_client_connection()
 
     overdue = []
     for _ in range(3):
-        harness.run_until(lambda: served.connection.peek() is Unread.NOTHING, "a chunk is read")
+        queueing_harness.run_until(lambda: served.connection.peek() is Unread.NOTHING, "a chunk is read")
         last_received_ms = served.connection.last_received_ms
         overdue.append(is_overdue(served, last_received_ms + client_messages.MESSAGE_TIMEOUT_MS))
         served.messages._waiting_since_ms = last_received_ms - client_messages.MESSAGE_TIMEOUT_MS
@@ -302,13 +207,12 @@
     assert overdue == [True, True, False]
 
 
-def test_partial_request_that_stops_is_overdue_within_the_limit(start_router):
-    harness = start_router(FakeWorker(instances=None))
-    client = harness.connect_client()
-    served = harness.only_client_connection()
+def test_partial_request_that_stops_is_overdue_within_the_limit(queueing_harness):
+    client = queueing_harness.connect_client()
+    served = queueing_harness.only_client_connection()
 
     client.send_request(withhold=50)
-    harness.run_until(lambda: served.messages.has_partial_message, "the first part is read")
+    queueing_harness.run_until(lambda: served.messages.has_partial_message, "the first part is read")
     now_ms = clock.monotonic_ms()
 
     assert not is_overdue(served, now_ms)
@@ -320,19 +224,18 @@
 # --- a process that has stalled -------------------------------------------------------------------
 
 
-def test_requests_read_together_after_a_stall_have_no_more_time_than_their_clients_left(start_router):
-    harness = start_router(FakeWorker(instances=None))
-    client, served = connect_accepted_client(harness)
-    harness.round_trip(client)
+def test_requests_read_together_after_a_stall_have_no_more_time_than_their_clients_left(queueing_harness):
+    client, served = connect_accepted_client(queueing_harness)
+    queueing_harness.round_trip(client)
     stall_ms = 400.0
 
     client.send_request(call="aa" * 8)
     time.sleep(stall_ms / 1000)
     client.send_request(call="bb" * 8)
     assert wait_readable(served.connection._sock)
-    harness.router_process.loop.run_once(0)
+    queueing_harness.router_process.loop.run_once(0)
 
-    first, second = harness.table.pending.values()
+    first, second = queueing_harness.table.pending.values()
     assert first.client_request.timeout_ms <= 8000.0 - stall_ms + 50.0
     assert second.client_request.timeout_ms > 8000.0 - 100.0
 
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -63,24 +63,22 @@
     harness.run_until(lambda: harness.table.pending, "the request is admitted")
 
 
-def test_request_that_arrives_as_its_idle_connection_times_out_is_admitted(start_router):
-    harness = start_router(FakeWorker(instances=None))
-    client = harness.connect_client()
-    harness.round_trip(client)
-    served = harness.only_client_connection()
+def test_request_that_arrives_as_its_idle_connection_times_out_is_admitted(queueing_harness):
+    client = queueing_harness.connect_client()
+    queueing_harness.round_trip(client)
+    served = queueing_harness.only_client_connection()
     client.send_request()
     assert wait_readable(served.connection._sock)
 
     with mock.patch.object(client_connection, "IDLE_TIMEOUT_MS", -1.0):
-        harness.router_process.listener.check_timeouts()  # before the request is read
-        harness.run_until(lambda: harness.table.pending, "the request is admitted")
+        queueing_harness.router_process.listener.check_timeouts()  # before the request is read
+        queueing_harness.run_until(lambda: queueing_harness.table.pending, "the request is admitted")
 
     assert not served.connection.is_closed
 
 
-def test_connection_and_listener_that_cannot_be_watched_at_once_are_served_later(start_router):
-    harness = start_router(FakeWorker(instances=None))
-    loop = harness.router_process.loop
+def test_connection_and_listener_that_cannot_be_watched_at_once_are_served_later(queueing_harness):
+    loop = queueing_harness.router_process.loop
     register = loop.register
     failures = [errno.ENOMEM, errno.ENOMEM, errno.ENOSPC]
 
@@ -90,20 +88,19 @@
         register(*arguments)
 
     with mock.patch.object(loop, "register", register_later):
-        client = harness.connect_client()
+        client = queueing_harness.connect_client()
         client.send_request()
-        harness.run_until(lambda: harness.table.pending, "the request is admitted")
-        connect_and_request_status(harness, "another client is served")
+        queueing_harness.run_until(lambda: queueing_harness.table.pending, "the request is admitted")
+        connect_and_request_status(queueing_harness, "another client is served")
 
     assert failures == []
     assert not client.is_closed
 
 
-def test_request_that_arrives_during_an_idle_close_is_left_unread(start_router):
-    harness = start_router(FakeWorker(instances=None))
-    client = harness.connect_client()
-    harness.round_trip(client)
-    served = harness.only_client_connection()
+def test_request_that_arrives_during_an_idle_close_is_left_unread(queueing_harness):
+    client = queueing_harness.connect_client()
+    queueing_harness.round_trip(client)
+    served = queueing_harness.only_client_connection()
     sock = served.connection._sock
     peek = served.connection.peek
 
--- a/tests/net/test_request_table.py
+++ b/tests/net/test_request_table.py
@@ -37,9 +37,7 @@
     assert bodies == {number + 1: b"for ask%d" % number for number in range(4)}
 
 
-def test_id_class_function_body_and_idempotency_key_reach_the_worker_unchanged(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
+def test_id_class_function_body_and_idempotency_key_reach_the_worker_unchanged(harness, worker):
     body = bytes(range(256)) * 64
     idempotency_key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
@@ -53,9 +51,7 @@
     assert 0 < int(frame.fields["ms"]) <= 8000
 
 
-def test_cancelled_request_gets_no_answer_and_its_late_one_is_dropped(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
+def test_cancelled_request_gets_no_answer_and_its_late_one_is_dropped(harness, worker):
     client = harness.run_request(worker)
 
     client.cancel(1)
@@ -70,9 +66,7 @@
     assert not harness.table.pending
 
 
-def test_second_answer_of_a_worker_is_dropped(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
+def test_second_answer_of_a_worker_is_dropped(harness, worker):
     client = harness.run_request(worker)
 
     worker.answer(worker.requests[0], body=b"one")
@@ -83,9 +77,7 @@
     assert [content[1] for _, _, content in client.answers] == [b"one", b""]
 
 
-def test_closed_client_connection_cancels_its_pending_requests(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
+def test_closed_client_connection_cancels_its_pending_requests(harness, worker):
     client = harness.run_request(worker)
 
     client.close()
@@ -95,9 +87,7 @@
     assert not harness.router_process.listener.connections
 
 
-def test_exception_in_the_decisions_still_leaves_each_request_one_answer(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
+def test_exception_in_the_decisions_still_leaves_each_request_one_answer(harness, worker):
     client = harness.connect_client()
 
     with mock.patch.object(harness.router_process.router, "handle", side_effect=KeyError("boom")):
@@ -110,8 +100,7 @@
     harness.run_until(lambda: worker.requests, "the next one runs")
 
 
-def test_deadline_timer_reports_the_request_as_cancelled_to_the_decisions(start_router):
-    harness = start_router(FakeWorker())
+def test_deadline_timer_reports_the_request_as_cancelled_to_the_decisions(harness):
     client = harness.connect_client()
 
     with mock.patch.object(harness.router_process.router, "handle", return_value=[]) as handle:
@@ -125,18 +114,17 @@
     ]
 
 
-def test_time_unread_in_the_socket_counts_towards_the_timeout(start_router):
-    harness = start_router(FakeWorker(instances=None))
-    harness.connect_client().send_request(ttl="8000")
+def test_time_unread_in_the_socket_counts_towards_the_timeout(queueing_harness):
+    queueing_harness.connect_client().send_request(ttl="8000")
     stall_ms = 400.0
     time.sleep(stall_ms / 1000)
 
-    harness.run_until(lambda: harness.table.pending, "it is read")
+    queueing_harness.run_until(lambda: queueing_harness.table.pending, "it is read")
 
-    [request] = harness.table.pending.values()
+    [request] = queueing_harness.table.pending.values()
     time_left_ms = 8000.0 - stall_ms
-    assert 0 <= request.deadline_ms - harness.router_process.loop.turn_started_ms <= time_left_ms
-    [decided] = harness.router_process.router.requests.by_id.values()
+    assert 0 <= request.deadline_ms - queueing_harness.router_process.loop.turn_started_ms <= time_left_ms
+    [decided] = queueing_harness.router_process.router.requests.by_id.values()
     assert 0 <= decided.deadline_ms - decided.arrived_ms <= time_left_ms
 
 
@@ -159,16 +147,15 @@
     assert advice == [request_table.FULL_TABLE_RETRY_AFTER_MS, 100.0, 0.0]
 
 
-def test_finished_request_makes_room_for_the_body_of_the_next(start_router):
-    harness = start_router(FakeWorker(instances=None))
-    client = harness.connect_client()
+def test_finished_request_makes_room_for_the_body_of_the_next(queueing_harness):
+    client = queueing_harness.connect_client()
 
     with mock.patch.object(pending_requests, "MAX_TOTAL_BODY_BYTES", 10):
         for _ in range(2):
             seqid = client.send_request(body=b"x" * 10)
-            harness.run_until(lambda: harness.table.pending, "it is admitted")
+            queueing_harness.run_until(lambda: queueing_harness.table.pending, "it is admitted")
             client.cancel(seqid)
-            harness.run_until(lambda: not harness.table.pending, "it is cancelled")
+            queueing_harness.run_until(lambda: not queueing_harness.table.pending, "it is cancelled")
 
     assert client.answers == []
 
@@ -248,9 +235,7 @@
     assert f"{worker_id}: OK WARM in flight 0 connection wait " in line
 
 
-def test_request_served_in_time_is_not_logged(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
+def test_request_served_in_time_is_not_logged(harness, worker):
     client = harness.run_request(worker)
 
     worker.answer(worker.requests[0])
@@ -259,9 +244,7 @@
     assert not [line for line in harness.log_lines if FUNCTION in line]
 
 
-def test_counters_of_what_was_sent_are_logged_once(start_router):
-    worker = FakeWorker()
-    harness = start_router(worker)
+def test_counters_of_what_was_sent_are_logged_once(harness, worker):
     harness.run_request(worker)
 
     for _ in range(2):
