--- a/function_router/net/endpoint_messages.py
+++ b/function_router/net/endpoint_messages.py
@@ -1,8 +1,7 @@
 """The messages of the endpoint log: one line of JSON each, an event or an announcement."""
 
-from dataclasses import dataclass
-
 import msgspec
+from msgspec import Struct
 
 SEQUENCE_FIELD = "seq"
 ENDPOINTS_FIELD = "fleet"
@@ -10,15 +9,13 @@
 MEMBERS_FIELD = "members"
 
 
-@dataclass(frozen=True, slots=True)
-class SequenceAnnouncement:
+class SequenceAnnouncement(Struct, frozen=True):
     """The sequence number of the last event in the log. The log repeats it as its heartbeat."""
 
     sequence: int
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointEvent:
+class EndpointEvent(Struct, frozen=True):
     """An event of the endpoint log. Its endpoint list is validated only when it is applied."""
 
     sequence: int
--- a/function_router/net/endpoint_registry.py
+++ b/function_router/net/endpoint_registry.py
@@ -1,8 +1,8 @@
 """The endpoint list as last received: ids, addresses and states of the workers."""
 
 from collections.abc import Callable
-from dataclasses import dataclass
 
+from msgspec import Struct
 from msgspec.structs import replace
 
 from function_router.config import Address, EndpointList, EndpointRecord, parse_address
@@ -31,8 +31,7 @@
     return hash_name(name, WORKER_ID_BYTES)
 
 
-@dataclass(frozen=True, slots=True)
-class AddressedEndpoint:
+class AddressedEndpoint(Struct, frozen=True):
     """An endpoint for the decisions, with the address that only the network needs."""
 
     endpoint: Endpoint
--- a/function_router/net/start_times.py
+++ b/function_router/net/start_times.py
@@ -5,7 +5,7 @@
 all possible ages the youngest is used.
 """
 
-from dataclasses import dataclass
+from msgspec import Struct
 
 from function_router.net.clock import Clock
 
@@ -15,8 +15,7 @@
 MAX_CLOCK_DIFFERENCE_MS = 1_000.0
 
 
-@dataclass(frozen=True, slots=True)
-class _ConvertedStart:
+class _ConvertedStart(Struct, frozen=True):
     """A start time in the endpoint list, and what it was converted to."""
 
     unix_ms: float
--- a/function_router/net/telemetry.py
+++ b/function_router/net/telemetry.py
@@ -1,7 +1,6 @@
 """What a router reports about itself: the log, counters that are logged periodically, and run-time checks."""
 
 from collections import Counter
-from dataclasses import dataclass, field
 
 from function_router.net.invariants import InvariantMonitor
 from function_router.net.log import RateLimitedLog
@@ -19,17 +18,21 @@
 VIOLATIONS = "invariants violated"  # since the start
 
 
-@dataclass(slots=True)
 class Telemetry:
-    """The log, the counters since they were last logged, and the run-time checks."""
+    """What all parts of the router report to.
 
-    log: RateLimitedLog
-    counters: Counter[str] = field(default_factory=Counter)
-    invariants: InvariantMonitor = field(init=False)
+    Attributes:
+        log: where log lines go.
+        counters: the counters since they were last logged.
+        invariants: the run-time checks, which write to the same log.
+    """
 
-    def __post_init__(self) -> None:
-        """Create the run-time checks, which write to the same log."""
-        self.invariants = InvariantMonitor(self.log)
+    __slots__ = ("counters", "invariants", "log")
+
+    def __init__(self, log: RateLimitedLog) -> None:
+        self.log = log
+        self.counters: Counter[str] = Counter()
+        self.invariants = InvariantMonitor(log)
 
     def count(self, name: str, detail: str = "") -> None:
         """Add one to a counter; `detail` distinguishes counters of the same name."""
