--- a/function_router/net/router_process.py
+++ b/function_router/net/router_process.py
@@ -175,5 +175,5 @@
 
     def _log_counters(self) -> None:
         if counters := self.telemetry.take_counters():
-            self.log(f"sent: {counters}")
+            self.log(f"counters: {counters}")
         self.loop.timers.call_later(COUNTERS_INTERVAL_MS, self._log_counters)
--- a/tests/net/test_request_table.py
+++ b/tests/net/test_request_table.py
@@ -250,5 +250,5 @@
     for _ in range(2):
         harness.router_process._log_counters()
 
-    lines = [line for line in harness.log_lines if line.startswith("sent: ")]
-    assert lines == ["sent: clients accepted 1, connects 2, probes 1, requests 1"]
+    lines = [line for line in harness.log_lines if line.startswith("counters: ")]
+    assert lines == ["counters: clients accepted 1, connects 2, probes 1, requests 1"]
