--- a/function_router/net/drain.py
+++ b/function_router/net/drain.py
@@ -8,7 +8,7 @@
 from function_router.net.event_loop import EventLoop
 from function_router.net.request_table import RequestTable
 
-# New connections and requests may arrive for 0.6 s after SIGTERM.
+# New connections and requests may arrive for 0.6 s after SIGTERM; the rest is margin.
 LATE_ARRIVALS_MS = 800.0
 # The drain ends after this time, even with requests pending.
 MAX_DRAIN_MS = 20_000.0
