--- a/function_router/net/reload.py
+++ b/function_router/net/reload.py
@@ -13,14 +13,21 @@
 RETRY_MS = 3_000.0
 RETRY_INTERVAL_MS = 50.0
 
-# Attributes of the configuration that take effect at the start only.
-RESTART_ONLY = ("name", "listen", "memory_mb", "max_sockets", "settings", "transport")
+# Attributes of the configuration that take effect at the start only, with their keys in the file.
+RESTART_ONLY_KEYS = {
+    "name": "name",
+    "listen": "listen",
+    "memory_mb": "limits.memory_mb",
+    "max_sockets": "limits.sockets",
+    "settings": "settings",
+    "transport": "settings",
+}
 
 
 class ConfigurationReload:
     """Reads the configuration again and moves to its endpoint log. Requests and connections stay.
 
-    Other changes take effect at the next start; their names are logged. An invalid configuration changes
+    Other changes take effect at the next start; their keys are logged. An invalid configuration changes
     nothing.
     """
 
@@ -52,11 +59,19 @@
             return
         self._retry_until_ms = None
         host, port = config.endpoint_log
-        changed = [name for name in RESTART_ONLY if getattr(config, name) != getattr(self._current, name)]
+        changed = self._changed_restart_only_keys(config)
         ignored = f"; changed, but read only at the start: {', '.join(changed)}" if changed else ""
         self._log(f"configuration reloaded: endpoint log at {host}:{port}{ignored}")
         self._endpoint_watch.move_to(config.endpoint_log)
 
+    def _changed_restart_only_keys(self, config: RouterConfig) -> list[str]:
+        changed = [
+            key
+            for attribute, key in RESTART_ONLY_KEYS.items()
+            if getattr(config, attribute) != getattr(self._current, attribute)
+        ]
+        return list(dict.fromkeys(changed))
+
     def _retry_or_give_up(self, error: UnreadableFileError) -> None:
         """Read the file again a moment later, unless it has been unreadable for too long."""
         now_ms = monotonic_ms()
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -43,14 +43,18 @@
 
 def test_reload_logs_the_changed_keys_that_take_effect_at_the_start_only(harness, make_reload):
     config = harness.router_process.config
-    new_config = msgspec.structs.replace(config, name="other", memory_mb=1)
+    settings = msgspec.structs.replace(config.settings, zone="other")
+    transport = msgspec.structs.replace(config.transport, keepalive_ms=1.0)
+    new_config = msgspec.structs.replace(
+        config, name="other", memory_mb=1, settings=settings, transport=transport
+    )
 
     make_reload(lambda: new_config).run()
 
     host, port = config.endpoint_log
     assert configuration_lines(harness) == [
         f"configuration reloaded: endpoint log at {host}:{port}; "
-        "changed, but read only at the start: name, memory_mb"
+        "changed, but read only at the start: name, limits.memory_mb, settings"
     ]
     assert harness.router_process.config is config
 
