--- /dev/null
+++ b/tests/net/test_endpoint_log_client.py
@@ -0,0 +1,160 @@
+"""Tests of `endpoint_log_client`: silence, slow lines, repeated requests and moves to another address."""
+
+import json
+from unittest import mock
+
+import pytest
+from helpers.configuration import endpoint_event
+from helpers.fake_endpoint_log import FakeEndpointLog
+from helpers.fake_worker import FakeWorker
+
+from function_router.decisions.types import WorkerState
+from function_router.net import clock, endpoint_log_client
+
+
+class RepeatingEndpointLog(FakeEndpointLog):
+    """An endpoint log that sends the same lines on every connection, as soon as it has a request."""
+
+    def __init__(self, *lines):
+        super().__init__()
+        self.lines = lines
+        self.served = set()  # indexes of the connections that have the lines
+
+    def receive(self):
+        """Read requests and answer each new one."""
+        super().receive()
+        for index, connection in enumerate(self.connections):
+            if connection.data.endswith(b"\n") and index not in self.served and not connection.is_closed:
+                self.served.add(index)
+                for line in self.lines:
+                    self.send_line(line, index)
+
+
+def wait_for_sequence(harness, sequence):
+    watch = harness.router_process.endpoint_watch
+    harness.run_until(lambda: watch.last_sequence == sequence, f"event {sequence} is applied")
+
+
+def wait_ms(harness, duration_ms):
+    elapsed = []
+    harness.router_process.loop.timers.call_later(duration_ms, lambda: elapsed.append(True))
+    harness.run_until(lambda: elapsed, f"{duration_ms} ms pass")
+
+
+def start_moved_log(harness, log=None):
+    """A second endpoint log, which the harness serves too."""
+    moved = log or FakeEndpointLog()
+    harness.add_listener(moved)
+    return moved
+
+
+# --- silence and slow lines
+
+
+def test_silent_log_is_requested_again_from_the_last_event(harness):
+    harness.endpoint_log.send_line(endpoint_event(2))
+    wait_for_sequence(harness, 2)
+
+    with mock.patch.object(endpoint_log_client, "SILENCE_TIMEOUT_MS", -1.0):
+        harness.run_until(lambda: len(harness.endpoint_log.requests()) == 2, "it is requested again")
+
+    assert harness.endpoint_log.requests() == [["since", "1"], ["since", "2"]]
+
+
+def test_silence_timeout_starts_when_the_connection_is_up(harness):
+    client = harness.router_process.endpoint_watch.client
+    client._last_line_ms -= endpoint_log_client.SILENCE_TIMEOUT_MS + 1  # connecting took that long
+    before = client._connection
+
+    client.on_connected()
+    client.check_timeouts()
+
+    assert client._connection is before
+
+
+def test_line_that_keeps_coming_is_waited_for_however_slow_the_log_is(harness, worker):
+    line = json.dumps(endpoint_event(2, worker.record("terminating"))).encode()
+
+    with mock.patch.object(endpoint_log_client, "SILENCE_TIMEOUT_MS", 300.0):
+        for start in range(0, len(line), len(line) // 8 + 1):
+            harness.endpoint_log.connections[-1].sock.sendall(line[start : start + len(line) // 8 + 1])
+            wait_ms(harness, 100.0)
+        harness.endpoint_log.connections[-1].sock.sendall(b"\n")
+        wait_for_sequence(harness, 2)
+
+    assert harness.pool.workers[worker.worker_id].state is WorkerState.DRAINING
+    assert len(harness.endpoint_log.requests()) == 1
+
+
+# --- repeated requests
+
+
+@pytest.mark.parametrize("line", [b"9", b"noise", b'{"seq":9,"fleet":5}'])
+def test_log_that_sends_nothing_valid_is_not_requested_in_a_busy_loop(harness, line):
+    log = start_moved_log(harness, RepeatingEndpointLog(line, line, line))
+    started_ms = clock.monotonic_ms()
+
+    harness.router_process.endpoint_watch.move_to(log.address)
+    wait_ms(harness, 4 * endpoint_log_client.RECONNECT_DELAY_MS)
+    harness.run_until(lambda: len(log.connections) > 1, "it is requested again")
+
+    delays = (clock.monotonic_ms() - started_ms) / endpoint_log_client.RECONNECT_DELAY_MS
+    assert len(log.connections) <= 1 + delays
+    log.lines = (b'{"seq":2,"fleet":{"members":[]}}', b"2")
+    wait_for_sequence(harness, 2)
+
+
+def test_event_that_is_nested_too_deeply_is_skipped_like_any_other_invalid_one(harness):
+    nested = b'{"seq":2,"fleet":{"members":' + b"[" * 900 + b"]" * 900 + b"}}"
+    log = start_moved_log(harness, RepeatingEndpointLog(nested, b'{"seq":3,"fleet":{"members":[]}}', b"3"))
+    watch = harness.router_process.endpoint_watch
+
+    watch.move_to(log.address)
+    harness.run_until(lambda: len(log.connections) > 3 or watch.last_sequence == 3, "event 3 is applied")
+
+    assert watch.last_sequence == 3
+    assert len(log.connections) == 2
+
+
+# --- a move to another address
+
+
+@pytest.mark.parametrize("is_broken", [False, True])
+def test_move_leaves_one_connection_and_no_late_reconnect(harness, is_broken):
+    watch = harness.router_process.endpoint_watch
+    moved = FakeEndpointLog()
+    elapsed = []
+
+    with mock.patch.object(endpoint_log_client, "RECONNECT_DELAY_MS", 30.0):
+        harness.endpoint_log.send_line(endpoint_event(2))
+        wait_for_sequence(harness, 2)
+        if is_broken:  # the reconnect to the old address is scheduled already
+            harness.endpoint_log.connections[0].close()
+            harness.run_until(lambda: watch.client._connection is None, "the connection breaks")
+        watch.move_to(moved.address)
+    harness.router_process.loop.timers.call_later(60.0, lambda: elapsed.append(True))
+    start_moved_log(harness, moved)
+    harness.run_until(lambda: elapsed and moved.requests(), "the new log has a request")
+
+    assert moved.requests() == [["since", "2"]]
+    assert len(moved.connections) == 1
+    assert [connection.is_closed for connection in harness.endpoint_log.connections] == [True]
+
+
+@pytest.mark.parametrize("is_line_half_read", [False, True], ids=["connecting", "half a line"])
+def test_move_while_connecting_or_inside_a_line_leaves_one_connection(start_router, is_line_half_read):
+    harness = start_router(FakeWorker(), start=is_line_half_read)
+    moved = start_moved_log(harness)
+    watch = harness.router_process.endpoint_watch
+    if is_line_half_read:
+        harness.endpoint_log.connections[0].sock.sendall(b'{"seq":2,"fl')
+        harness.run_until(lambda: watch.client._partial_line, "half a line is read")
+    assert watch.client._connection.is_connected == is_line_half_read
+
+    watch.move_to(moved.address)
+    harness.run_until(moved.requests, "the new log has a request")
+    moved.send_line(endpoint_event(2))
+    wait_for_sequence(harness, 2)
+
+    assert moved.requests() == [["since", "1"]]
+    assert len(moved.connections) == 1
