--- a/function_router/net/log.py
+++ b/function_router/net/log.py
@@ -9,8 +9,10 @@
 
 from function_router.net.clock import monotonic_ms
 
-MAX_LINES_PER_SECOND = 20  # of one source
-MAX_LINE_LENGTH = 600  # characters; the rest of a longer line is cut off
+# Of one source; further lines in that second are dropped and counted.
+MAX_LINES_PER_SECOND = 20
+# In characters; the rest of a longer line is cut off. It fits into what a pipe takes at once, PIPE_BUF.
+MAX_LINE_LENGTH = 600
 
 
 class RateLimitedLog:
