--- a/tests/net/test_decision_host.py
+++ b/tests/net/test_decision_host.py
@@ -8,9 +8,10 @@
 
 from function_router.decisions import actions
 from function_router.decisions.events import TimerFired
-from function_router.net.decision_host import RECOVERY_TIMER_TOKEN
+from function_router.net.decision_host import RECOVERY_TIMER_MS, RECOVERY_TIMER_TOKEN
 from function_router.net.event_loop import READ
 from function_router.net.request_table import RequestTable
+from function_router.net.timer_wheel import TimerWheel
 
 # One of each action that the request table carries out, and the method that does so.
 TABLE_ACTIONS = [
@@ -23,7 +24,7 @@
 
 
 def handle_with_actions(harness, *decided):
-    """Run a turn in which the decisions return these actions."""
+    """Run a turn of the event loop in which the decisions return these actions."""
     process = harness.router_process
     with mock.patch.object(process.router, "handle", return_value=list(decided)):
         process.loop.submit(TimerFired(1))
@@ -84,14 +85,19 @@
 
 def test_timer_that_an_exception_may_have_lost_is_replaced(harness):
     process = harness.router_process
-    with mock.patch.object(process.router, "handle", side_effect=KeyError):
+
+    with (
+        mock.patch.object(process.router, "handle", side_effect=KeyError),
+        mock.patch.object(TimerWheel, "call_later") as call_later,
+    ):
         process.loop.submit(TimerFired(1))
         process.loop.run_once(0)
-
+    [fire] = [call.args[1] for call in call_later.call_args_list if call.args[0] == RECOVERY_TIMER_MS]
     with mock.patch.object(process.router, "handle", return_value=[]) as handle:
-        recovery_timer = TimerFired(RECOVERY_TIMER_TOKEN)
-        harness.run_until(lambda: recovery_timer in events_of(handle), "a timer fires")
+        fire()
+        process.loop.run_once(0)
 
+    assert TimerFired(RECOVERY_TIMER_TOKEN) in events_of(handle)
     assert any("unhandled exception in the decisions" in line for line in harness.log_lines)
 
 
