--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -54,17 +54,15 @@
         self._resources = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> "Cluster":
-        self._resources.callback(self._ports.close)
-        self._resources.push_async_callback(asyncio.sleep, SETTLE_S)
-        try:
+        async with self._resources:  # ends what has started if the rest can't start
+            self._resources.callback(self._ports.close)
+            self._resources.push_async_callback(asyncio.sleep, SETTLE_S)
             proxy_ports = await self._start_proxy()
             await self._start_workers()
             await self._start_endpoint_logs(proxy_ports)
             await self._start_routers()
             await self._start_clients()
-        except BaseException:
-            await self._resources.aclose()
-            raise
+            self._resources = self._resources.pop_all()
         return self
 
     async def __aexit__(
--- /dev/null
+++ b/tests/test_soak_module_process.py
@@ -0,0 +1,49 @@
+"""Tests of the soak test's child processes: their start, their end, and what happens if they don't start."""
+
+import asyncio
+
+import pytest
+
+from soak.errors import ProcessStartError
+from soak.module_process import ModuleProcess
+
+SILENT_MODULE = "soak.errors"  # runs to its end without a line of output
+FINISH_S = 10.0
+
+
+def test_process_that_ends_without_a_line_is_an_error():
+    async def start():
+        process = await ModuleProcess.start(SILENT_MODULE)
+        try:
+            await process.read_line()
+        finally:
+            await process.clean_up()
+
+    with pytest.raises(ProcessStartError, match=SILENT_MODULE):
+        asyncio.run(start())
+
+
+def test_process_says_where_it_listens_and_refuses_connections_once_it_is_cleaned_up():
+    async def start_and_clean_up():
+        process = await ModuleProcess.start("soak.worker")
+        try:
+            port = int(await process.read_line())
+            _, writer = await asyncio.open_connection("127.0.0.1", port)
+            writer.close()
+        finally:
+            await process.clean_up()
+        with pytest.raises(ConnectionRefusedError):
+            await asyncio.open_connection("127.0.0.1", port)
+
+    asyncio.run(start_and_clean_up())
+
+
+def test_process_exits_as_its_input_is_closed(tmp_path):
+    async def start_and_finish():
+        process = await ModuleProcess.start("soak.clients", "1", "1", str(tmp_path / "clients.jsonl"))
+        try:
+            await asyncio.wait_for(process.finish(FINISH_S), FINISH_S / 2)
+        finally:
+            await process.clean_up()
+
+    asyncio.run(start_and_finish())
