--- a/soak/bad_clients.py
+++ b/soak/bad_clients.py
@@ -67,5 +67,5 @@
     except OSError:
         pass  # a reset counts as a close
     now = time.monotonic()
-    recorder.add(BadClientSeen(router, kind, now, now - connected_at, is_settled))
+    recorder.add(BadClientSeen(router, kind, now, now - connected_at, is_settled=is_settled))
     writer.close()
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -20,19 +20,21 @@
     async def inject(self, fault: Fault) -> None:
         """Inject a fault into its targets, except those that are reserved, and wait until it is over."""
         match FAULTS[fault.kind]:
-            case RouterFault(inject, is_exclusive=True):
-                with _reserve(fault.routers, self._busy_routers) as numbers:
-                    routers = [self._cluster.routers[number] for number in numbers]
-                    await asyncio.gather(*(inject(self._cluster, router, fault) for router in routers))
-            case RouterFault(inject):
-                routers = [self._cluster.routers[number] for number in fault.routers]
-                await asyncio.gather(*(inject(self._cluster, router, fault) for router in routers))
-            case WorkerFault(inject):
-                with _reserve(fault.workers, self._busy_workers) as numbers:
-                    slots = [self._cluster.workers[number] for number in numbers]
-                    await asyncio.gather(*(inject(self._cluster, slot, fault) for slot in slots))
-            case ClientFault(inject):
-                await inject(self._cluster, fault)
+            case RouterFault(is_exclusive=True) as router_fault:
+                with _reserve(fault.routers, self._busy_routers) as routers:
+                    await self._inject_into_routers(router_fault, fault, routers)
+            case RouterFault() as router_fault:
+                await self._inject_into_routers(router_fault, fault, fault.routers)
+            case WorkerFault() as worker_fault:
+                with _reserve(fault.workers, self._busy_workers) as workers:
+                    slots = [self._cluster.workers[number] for number in workers]
+                    await asyncio.gather(*(worker_fault.inject(self._cluster, slot, fault) for slot in slots))
+            case ClientFault() as client_fault:
+                await client_fault.inject(self._cluster, fault)
+
+    async def _inject_into_routers(self, registered: RouterFault, fault: Fault, numbers: list[int]) -> None:
+        routers = [self._cluster.routers[number] for number in numbers]
+        await asyncio.gather(*(registered.inject(self._cluster, router, fault) for router in routers))
 
 
 @contextlib.contextmanager
--- a/soak/request_client.py
+++ b/soak/request_client.py
@@ -129,7 +129,9 @@
             await self._await_end(exchange, departure)
         except ConnectionEndedError as error:
             is_crossing = exchange.was_alone and error.at - exchange.sent_at <= CROSSING_S and not is_retry
-            self._recorder.add(ConnectionLost(request.request_id, error.at, error.cause, is_crossing))
+            self._recorder.add(
+                ConnectionLost(request.request_id, error.at, error.cause, is_retried=is_crossing)
+            )
             return is_crossing
         finally:
             connection.pending.pop(exchange.seqid, None)
@@ -154,7 +156,7 @@
         self._recorder.add(
             RequestSent(request.request_id, router, request.class_name, sent_at, request.timeout_s)
         )
-        return Exchange(request, connection, seqid, answer, sent_at, was_alone)
+        return Exchange(request, connection, seqid, answer, sent_at, was_alone=was_alone)
 
     async def _await_end(self, exchange: Exchange, departure: Departure) -> None:
         """Wait for the answer; a client that departs waits only for a part of the timeout."""
@@ -174,7 +176,7 @@
             return
         expected_body = served_body(bytes.fromhex(request.request_id))
         is_genuine = answer.kind is not AnswerKind.SERVED or answer.body == expected_body
-        self._recorder.add(RequestAnswered(request.request_id, answer.at, answer.kind, is_genuine))
+        self._recorder.add(RequestAnswered(request.request_id, answer.at, answer.kind, is_genuine=is_genuine))
 
     async def _leave(self, exchange: Exchange, departure: Departure) -> None:
         if departure is Departure.CLOSE:
--- a/soak/run_record.py
+++ b/soak/run_record.py
@@ -33,13 +33,13 @@
         started_at: when it began to listen.
         is_in_slow_start: whether it started during the run, so that routers owe it a slow start.
         ready_notified_at: by router, from when on the router counts as notified that it is READY.
-        drain_notified_at: the same of its drain; empty where it was not drained.
+        drain_notified_at: the same for its drain; empty if it was not drained.
     """
 
     worker: int
     name: str
     started_at: float
-    is_in_slow_start: bool
+    is_in_slow_start: bool = field(kw_only=True)
     ready_notified_at: dict[int, float] = field(default_factory=dict)
     drain_notified_at: dict[int, float] = field(default_factory=dict)
 
--- a/soak/worker_slot.py
+++ b/soak/worker_slot.py
@@ -51,7 +51,9 @@
         process = await ModuleProcess.start("soak.worker")
         self._processes.append(process)
         self._port = int(await process.read_line())
-        self.incarnations.append(WorkerIncarnation(self.number, name, time.monotonic(), is_in_slow_start))
+        self.incarnations.append(
+            WorkerIncarnation(self.number, name, time.monotonic(), is_in_slow_start=is_in_slow_start)
+        )
         self._started_at_ms = time.time() * 1000 if is_in_slow_start else 0.0
         await self.forward()
 
--- a/tests/test_soak_checker.py
+++ b/tests/test_soak_checker.py
@@ -43,6 +43,11 @@
     return AttemptSeen(ROUTER, worker, ID, at, at, timeout_ms, class_name)
 
 
+def worker_that_drains_at(at):
+    """A worker long after its slow start, of whose drain the router was notified."""
+    return WorkerIncarnation(WORKER, "s-0", 90.0, is_in_slow_start=False, drain_notified_at={ROUTER: at})
+
+
 def answer_at(at, code):
     return WorkerAnswerSeen(ROUTER, WORKER, ID, at, code)
 
@@ -71,10 +76,14 @@
     [
         pytest.param([SENT], Rule.LOST, id="no answer"),
         pytest.param([SENT, RequestAnswered(ID, 102.7, AnswerKind.BROKEN)], Rule.LOST, id="too late"),
-        pytest.param([SENT, ConnectionLost(ID, 100.4, "reset", False)], Rule.LOST, id="connection lost"),
+        pytest.param(
+            [SENT, ConnectionLost(ID, 100.4, "reset", is_retried=False)], Rule.LOST, id="connection lost"
+        ),
         pytest.param([SENT, SERVED, SERVED], Rule.DUPLICATE, id="two answers"),
         pytest.param(
-            [SENT, RequestAnswered(ID, 100.5, AnswerKind.SERVED, False)], Rule.DUPLICATE, id="not genuine"
+            [SENT, RequestAnswered(ID, 100.5, AnswerKind.SERVED, is_genuine=False)],
+            Rule.DUPLICATE,
+            id="not genuine",
         ),
         pytest.param([SENT, ClientGone(ID, 100.2), attempt_at(100.4)], Rule.CLIENT_GONE, id="client gone"),
         pytest.param([SENT, SERVED, attempt_at(100.3, timeout_ms=1_950.0)], Rule.TIMEOUT, id="timeout"),
@@ -98,7 +107,9 @@
             id="rejected after run",
         ),
         pytest.param([START_ORDER] * 5, Rule.START_ORDER_RATE, id="start orders"),
-        pytest.param([BadClientSeen(ROUTER, "noise", 100.0, 3.5, True)], Rule.BAD_CLIENT, id="bad client"),
+        pytest.param(
+            [BadClientSeen(ROUTER, "noise", 100.0, 3.5, is_settled=True)], Rule.BAD_CLIENT, id="bad client"
+        ),
     ],
 )
 def test_records_that_break_a_rule_are_found(check, records, rule):
@@ -180,15 +191,17 @@
 
 def test_bad_client_of_a_killed_router_is_excused(check):
     killed = RouterIncarnation(ROUTER, 90.0, ready_at=91.0, killed_at=98.0, exited_at=98.1, exit_code=-9)
-    unsettled = BadClientSeen(ROUTER, "noise", 100.0, 4.0, False)
+    unsettled = BadClientSeen(ROUTER, "noise", 100.0, 4.0, is_settled=False)
 
     assert check(unsettled) == {Rule.BAD_CLIENT}
     assert check(unsettled, incarnation=killed) == set()
 
 
-@pytest.mark.parametrize("successors", [[WorkerIncarnation(WORKER, "s-0x", 110.0, False)], []])
+@pytest.mark.parametrize(
+    "successors", [[WorkerIncarnation(WORKER, "s-0x", 110.0, is_in_slow_start=False)], []]
+)
 def test_new_work_to_a_draining_worker_is_found(check, successors):
-    draining = WorkerIncarnation(WORKER, "s-0", 90.0, False, drain_notified_at={ROUTER: 98.0})
+    draining = worker_that_drains_at(98.0)
 
     violations = check(SENT, SERVED, attempt_at(100.1), worker_incarnations=[draining, *successors])
 
@@ -203,14 +216,14 @@
     ],
 )
 def test_start_order_is_new_work_to_a_draining_worker_and_a_probe_is_not(check, order, violations):
-    draining = WorkerIncarnation(WORKER, "s-0", 90.0, False, drain_notified_at={ROUTER: 98.0})
+    draining = worker_that_drains_at(98.0)
 
     assert check(order, worker_incarnations=[draining]) == violations
 
 
 def test_work_for_the_successor_of_a_drained_worker_is_allowed(check):
-    drained = WorkerIncarnation(WORKER, "s-0", 90.0, False, drain_notified_at={ROUTER: 98.0})
-    successor = WorkerIncarnation(WORKER, "s-0x", 100.05, False)
+    drained = worker_that_drains_at(98.0)
+    successor = WorkerIncarnation(WORKER, "s-0x", 100.05, is_in_slow_start=False)
 
     violations = check(SENT, SERVED, attempt_at(100.1), worker_incarnations=[drained, successor])
 
@@ -235,7 +248,9 @@
     ],
 )
 def test_overload_of_a_worker_in_slow_start_is_found(check, excess, ready_notified_at, violations):
-    starting = WorkerIncarnation(WORKER, "s-0", 100.0, True, ready_notified_at=ready_notified_at)
+    starting = WorkerIncarnation(
+        WORKER, "s-0", 100.0, is_in_slow_start=True, ready_notified_at=ready_notified_at
+    )
     records = records_of_a_burst(int(slow_start_limit(0.2)) + excess)
 
     assert check(*records, worker_incarnations=[starting]) == violations
