--- a/soak/bad_clients.py
+++ b/soak/bad_clients.py
@@ -8,7 +8,7 @@
 from function_router.net.codecs import thrift
 from soak import site
 from soak.records import BadClientSeen, Recorder
-from soak.thrift_client import END_OF_STRUCT, encode_cancel, encode_request
+from soak.thrift_messages import END_OF_STRUCT, encode_cancel, encode_request
 
 PATIENCE_S = 4.0  # longer than the router may take, so that the checker sees how late it is
 NOISE_BYTES = 300
--- a/soak/request_client.py
+++ b/soak/request_client.py
@@ -12,13 +12,8 @@
 from soak import site
 from soak.client_connections import ClientConnections
 from soak.records import AnswerKind, ClientGone, ConnectionLost, Recorder, RequestAnswered, RequestSent
-from soak.thrift_client import (
-    ClientAnswer,
-    ConnectionEndedError,
-    ThriftConnection,
-    encode_cancel,
-    encode_request,
-)
+from soak.thrift_client import ConnectionEndedError, ThriftConnection
+from soak.thrift_messages import ClientAnswer, encode_cancel, encode_request
 from soak.worker import served_body
 
 NEW_CONNECTION_SHARE = 0.1  # of requests, where they could share a connection
--- a/soak/thrift_client.py
+++ b/soak/thrift_client.py
@@ -1,46 +1,17 @@
-"""One client connection to a router: requests, cancellations and answers, over asyncio."""
+"""One client connection to a router: pending requests and their answers, over asyncio."""
 
 import asyncio
 import struct
 import time
-from dataclasses import dataclass
-
-from function_router.net.codecs import thrift
-from function_router.net.codecs.thrift_protocol import (
-    HANDLE_BODY_ID,
-    HANDLE_FIELDS_ID,
-    METHOD_HANDLE,
-    METHOD_STATUS,
-    METHOD_WITHDRAW,
-    RESULT_BROKEN_ID,
-    RESULT_SUCCESS_ID,
-    RESULT_THROTTLED_ID,
-    WITHDRAW_SEQID_ID,
-)
+
 from soak.errors import SoakTestError
 from soak.records import AnswerKind
+from soak.thrift_messages import ClientAnswer, decode_answer, encode_status
 
 READ_BYTES = 65_536
 STATUS_SEQID = 1
-STATUS_ARGUMENT_ID = 1
 STATUS_TIMEOUT_S = 1.0
-END_OF_STRUCT = b"\0"
-ANSWER_KINDS = {
-    RESULT_SUCCESS_ID: AnswerKind.SERVED,
-    RESULT_THROTTLED_ID: AnswerKind.THROTTLED,
-    RESULT_BROKEN_ID: AnswerKind.BROKEN,
-}
 _SIZE = struct.Struct(">I")
-_FIELD = struct.Struct(">bh")
-
-
-@dataclass(frozen=True, slots=True)
-class ClientAnswer:
-    """An answer at a monotonic time in seconds; `body` is empty unless a worker served it."""
-
-    kind: AnswerKind
-    at: float
-    body: bytes = b""
 
 
 class ConnectionEndedError(SoakTestError):
@@ -52,40 +23,6 @@
         self.at = time.monotonic()
 
 
-def encode_request(seqid: int, fields: dict[str, str], body: bytes) -> bytes:
-    """The frame of a request."""
-    arguments = _FIELD.pack(thrift.MAP, HANDLE_FIELDS_ID) + thrift.encode_string_map(fields)
-    arguments += _FIELD.pack(thrift.STRING, HANDLE_BODY_ID) + thrift.encode_string(body) + END_OF_STRUCT
-    return thrift.encode_frame(thrift.CALL, METHOD_HANDLE.encode(), seqid, arguments)
-
-
-def encode_cancel(seqid: int) -> bytes:
-    """The frame that cancels a request."""
-    arguments = struct.pack(">bhi", thrift.I32, WITHDRAW_SEQID_ID, seqid) + END_OF_STRUCT
-    return thrift.encode_frame(thrift.ONEWAY, METHOD_WITHDRAW.encode(), seqid, arguments)
-
-
-def encode_status(seqid: int) -> bytes:
-    """The frame that asks whether a router is ready."""
-    arguments = struct.pack(">bhb", thrift.BOOL, STATUS_ARGUMENT_ID, True) + END_OF_STRUCT
-    return thrift.encode_frame(thrift.CALL, METHOD_STATUS.encode(), seqid, arguments)
-
-
-def decode_answer(message: bytes) -> tuple[int, ClientAnswer]:
-    """The sequence number and the answer in a message without its size."""
-    head = thrift.parse_head(message)
-    now = time.monotonic()
-    if head.message_type == thrift.EXCEPTION:
-        return head.seqid, ClientAnswer(AnswerKind.EXCEPTION, now)
-    _, result_id = _FIELD.unpack_from(message, head.arguments_start)
-    body = b""
-    if result_id == RESULT_SUCCESS_ID:
-        start = head.arguments_start + 2 * _FIELD.size  # after the result's field, its first one is the body
-        (length,) = _SIZE.unpack_from(message, start)
-        body = message[start + _SIZE.size : start + _SIZE.size + length]
-    return head.seqid, ClientAnswer(ANSWER_KINDS[result_id], now, body)
-
-
 class ThriftConnection:
     """A connection with any number of pending requests; whoever opens it closes it.
 
@@ -155,7 +92,7 @@
             (size,) = _SIZE.unpack_from(buffer)
             if len(buffer) < _SIZE.size + size:
                 return
-            seqid, answer = decode_answer(bytes(buffer[_SIZE.size : _SIZE.size + size]))
+            seqid, answer = decode_answer(bytes(buffer[_SIZE.size : _SIZE.size + size]), time.monotonic())
             del buffer[: _SIZE.size + size]
             future = self.pending.pop(seqid, None)
             if future is None:
