--- a/function_router/decisions/admission.py
+++ b/function_router/decisions/admission.py
@@ -71,8 +71,22 @@
         left_ms = request.arrived_ms + objective_ms - now_ms
         return left_ms < min(runs_ms, objective_ms * FINAL_OBJECTIVE_FRACTION)
 
-    def should_give_up(self, request: Request, now_ms: float) -> bool:
-        """Whether a request with nothing in flight that will miss its objective gets its final answer now.
+    def is_due_on_arrival(self, request: Request, now_ms: float) -> bool:
+        """Whether a new request can't wait for the timer, as with a client's last retry."""
+        return request.deadline_ms - now_ms <= TIMER_INTERVAL_MS + ANSWER_LEAD_MS
+
+    def is_due_on_timer(self, request: Request, now_ms: float) -> bool:
+        """Whether a request gets the router's own final answer now: given up, or else it may be too late.
+
+        The time left is not taken as a difference as on arrival: deadlines are often due at just this time,
+        and sums and differences round differently.
+        """
+        if self._should_give_up(request, now_ms):
+            return True
+        return now_ms + TIMER_INTERVAL_MS + ANSWER_LEAD_MS >= request.deadline_ms
+
+    def _should_give_up(self, request: Request, now_ms: float) -> bool:
+        """Whether a request with nothing in flight that will miss its objective is given up.
 
         A request over quota is given up at once, any other after a fraction of its timeout. The client then
         has time left to try again.
@@ -84,18 +98,6 @@
             request.deadline_ms - request.arrived_ms
         )
 
-    def must_answer_on_arrival(self, request: Request, now_ms: float) -> bool:
-        """Whether a new request can't wait for the timer, as with a client's last retry."""
-        return request.deadline_ms - now_ms <= TIMER_INTERVAL_MS + ANSWER_LEAD_MS
-
-    def must_answer_on_timer(self, request: Request, now_ms: float) -> bool:
-        """Whether the next firing of the timer may be too late for the final answer.
-
-        Not written as a difference as on arrival: deadlines are often due at just this time, and sums and
-        differences round differently.
-        """
-        return now_ms + TIMER_INTERVAL_MS + ANSWER_LEAD_MS >= request.deadline_ms
-
     def urgency(self, request: Request, now_ms: float) -> Urgency:
         """Sort key of queued requests: the least one is served first."""
         will_miss = self.will_miss_objective(request, now_ms)
--- a/function_router/decisions/router.py
+++ b/function_router/decisions/router.py
@@ -115,7 +115,7 @@
         self._retries.record_arrival()
         self.requests.by_id[request.id] = request
         self._dispatcher.enqueue(request, now_ms)
-        if self._admission.must_answer_on_arrival(request, now_ms):
+        if self._admission.is_due_on_arrival(request, now_ms):
             self._answers.finish(request)
         else:
             self._scaling.find_instances(function, request, now_ms)
@@ -183,7 +183,7 @@
         self._is_timer_set = False
         capacity = self.fleet.capacity
         for request in list(self.requests.by_id.values()):
-            if self._is_due(request, now_ms):
+            if self._admission.is_due_on_timer(request, now_ms):
                 self._answers.finish(request)
             elif capacity.many_routers and request.attempts and request not in request.function.queue:
                 self._retries.hedge_if_overdue(request, now_ms)
@@ -196,11 +196,6 @@
         if self._dispatcher.has_waiting() and not self._admission.is_at_limit():
             self._dispatcher.dispatch_all(now_ms)
 
-    def _is_due(self, request: Request, now_ms: float) -> bool:
-        """Whether a request gets the router's own final answer now."""
-        gives_up = self._admission.should_give_up(request, now_ms)
-        return gives_up or self._admission.must_answer_on_timer(request, now_ms)
-
     def _on_drain_started(self, event: events.DrainStarted, now_ms: float) -> None:
         for request in self.requests.by_id.values():
             request.deadline_ms = min(request.deadline_ms, now_ms + event.within_ms)
