--- a/tests/helpers/process_harness.py
+++ b/tests/helpers/process_harness.py
@@ -36,14 +36,14 @@
         log_lines: The lines that the router has logged.
     """
 
-    def __init__(self, *workers, settings=None, limits=None, start=True):
+    def __init__(self, *workers, settings=None, limits=None, wait_for_log_request=True):
         """Start a router that knows these workers.
 
         Args:
             workers: Fake workers, which the router's endpoint list contains.
             settings: Keys of the settings that replace those of `SETTINGS`.
             limits: The limits of the configuration.
-            start: Whether to run the router until it has requested the endpoint log.
+            wait_for_log_request: Whether to run the router until it has requested the endpoint log.
         """
         self.endpoint_log = FakeEndpointLog()
         self.clients = []
@@ -58,7 +58,7 @@
         )
         self.router_process = RouterProcess(parse_config(config, {}), log=self._log)
         self.router_process.start()
-        if start:
+        if wait_for_log_request:
             self.run_until(self.endpoint_log.requests, "the endpoint log has a request")
 
     def _log(self, text, _source=""):
--- a/tests/net/test_endpoint_log_client.py
+++ b/tests/net/test_endpoint_log_client.py
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("is_line_half_read", [False, True], ids=["connecting", "half a line"])
 def test_move_while_connecting_or_inside_a_line_leaves_one_connection(start_router, is_line_half_read):
-    harness = start_router(FakeWorker(), start=is_line_half_read)
+    harness = start_router(FakeWorker(), wait_for_log_request=is_line_half_read)
     moved = start_moved_log(harness)
     watch = harness.router_process.endpoint_watch
     if is_line_half_read:
