--- a/soak/history.py
+++ b/soak/history.py
@@ -1,7 +1,6 @@
 """The history of a run, as the checker reads it from the records: by request, and by kind of observation."""
 
 from collections import defaultdict
-from collections.abc import Iterator
 from dataclasses import dataclass, field
 
 from function_router.net.codecs import worker_frames as frames
@@ -96,11 +95,18 @@
         """The requests that clients are known to have sent."""
         return [request for request in self._requests.values() if request.sent]
 
-    @property
-    def attempts(self) -> Iterator[AttemptSeen]:
-        """All attempts, also those for requests that no client is known to have sent."""
-        for request in self._requests.values():
-            yield from request.attempts
+    def attempts_at(self, worker: int) -> list[AttemptSeen]:
+        """All attempts at a worker slot, also those for requests that no client is known to have sent."""
+        return [
+            attempt
+            for request in self._requests.values()
+            for attempt in request.attempts
+            if attempt.worker == worker
+        ]
+
+    def start_orders_at(self, worker: int) -> list[StartOrderSeen]:
+        """All start orders at a worker slot, without probes."""
+        return [order for order in self.start_orders if order.worker == worker and order.instances]
 
     def sent_times_by_router(self) -> dict[int, list[float]]:
         """The times at which clients sent requests, sorted, by router."""
--- a/soak/worker_rules.py
+++ b/soak/worker_rules.py
@@ -6,6 +6,7 @@
 
 from soak import site
 from soak.history import RunHistory
+from soak.records import AttemptSeen, StartOrderSeen
 from soak.rules import MEASURING_SLACK_S, Rule, Violation
 from soak.run_record import RouterIncarnation, WorkerIncarnation
 
@@ -54,13 +55,11 @@
 
 def _new_work(history: RunHistory, worker: int) -> list[tuple[float, int]]:
     """The times at which new work began to arrive at a worker slot, with the router it came from; sorted."""
-    attempts = [(each.first_byte_at, each.router) for each in history.attempts if each.worker == worker]
-    orders = [
-        (each.first_byte_at, each.router)
-        for each in history.start_orders
-        if each.worker == worker and each.instances
+    work: list[AttemptSeen | StartOrderSeen] = [
+        *history.attempts_at(worker),
+        *history.start_orders_at(worker),
     ]
-    return sorted([*attempts, *orders])
+    return sorted((each.first_byte_at, each.router) for each in work)
 
 
 def _check_slow_start(history: RunHistory, incarnation: WorkerIncarnation) -> Iterator[Violation]:
@@ -68,8 +67,8 @@
     started_at = incarnation.started_at
     arrivals = sorted(
         (each.at, each.router)
-        for each in history.attempts
-        if each.worker == incarnation.worker and 0.0 <= each.at - started_at < site.SLOW_START_S
+        for each in history.attempts_at(incarnation.worker)
+        if 0.0 <= each.at - started_at < site.SLOW_START_S
     )
     times = [at for at, _ in arrivals]
     for last, at in enumerate(times):
