--- a/function_router/net/acceptor.py
+++ b/function_router/net/acceptor.py
@@ -2,9 +2,10 @@
 
 import errno
 import socket
-from dataclasses import dataclass
 from typing import Protocol
 
+from msgspec import Struct
+
 from function_router.config import Address
 from function_router.net.clock import monotonic_ms
 from function_router.net.event_loop import READ, EventLoop
@@ -22,8 +23,7 @@
 ACCEPT_PAUSE_MS = 50.0
 
 
-@dataclass(frozen=True, slots=True)
-class AcceptedSocket:
+class AcceptedSocket(Struct, frozen=True):
     """A socket that was accepted; its client connected at `connected_since_ms` (monotonic) or later."""
 
     sock: socket.socket
--- a/function_router/net/attempt_report.py
+++ b/function_router/net/attempt_report.py
@@ -1,6 +1,6 @@
 """What the end of an attempt means for the decision module and for the log."""
 
-from dataclasses import dataclass
+from msgspec import Struct
 
 from function_router.decisions.types import Outcome, StartKind
 from function_router.net.close_reason import outcome_of
@@ -10,8 +10,7 @@
 MAX_REPORTED_IN_FLIGHT = 30
 
 
-@dataclass(frozen=True, slots=True)
-class AttemptReport:
+class AttemptReport(Struct, frozen=True):
     """What became of an attempt, in the terms of the decision module."""
 
     outcome: Outcome
--- a/function_router/net/client_request.py
+++ b/function_router/net/client_request.py
@@ -5,22 +5,20 @@
 """
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import ClassVar
 
 import msgspec
+from msgspec import Struct
 
 
-@dataclass(frozen=True, slots=True)
-class Served:
+class Served(Struct, frozen=True):
     """A worker ran the request."""
 
     body: bytes
     name: ClassVar[str] = "served"
 
 
-@dataclass(frozen=True, slots=True)
-class Rejected:
+class Rejected(Struct, frozen=True):
     """The request was not served, and the client may safely send it again.
 
     Attributes:
@@ -31,8 +29,7 @@
     name: ClassVar[str] = "rejected"
 
 
-@dataclass(frozen=True, slots=True)
-class Failed:
+class Failed(Struct, frozen=True):
     """The request may or may not have run, so that a retry may run it twice."""
 
     name: ClassVar[str] = "failed"
@@ -70,8 +67,7 @@
     expected_start_ms: float | None
 
 
-@dataclass(frozen=True, slots=True)
-class ClientRequest:
+class ClientRequest(Struct, frozen=True):
     """An invocation that has been read, and how to answer it.
 
     Attributes:
--- a/function_router/net/close_reason.py
+++ b/function_router/net/close_reason.py
@@ -1,9 +1,10 @@
 """Why a connection, or an exchange on it, ended, and the outcome that is reported to the decision module."""
 
 import errno
-from dataclasses import dataclass
 from enum import Enum, auto
 
+from msgspec import Struct
+
 from function_router.decisions.types import Outcome
 from function_router.net.transient_errors import TRANSIENT_ERRORS
 
@@ -30,8 +31,7 @@
     SHUTDOWN = auto()  # this router stops
 
 
-@dataclass(frozen=True, slots=True)
-class ReportedOutcomes:
+class ReportedOutcomes(Struct, frozen=True):
     """What is reported to the decision module of an attempt or start order that ended without an answer.
 
     Attributes:
--- a/function_router/net/pending_request.py
+++ b/function_router/net/pending_request.py
@@ -1,7 +1,9 @@
 """The state of a request from its admission to its final answer."""
 
 import math
-from dataclasses import dataclass, field
+
+import msgspec
+from msgspec import Struct
 
 from function_router.net.client_request import ClientRequest, FinalAnswer, Invocation
 from function_router.net.clock import monotonic_ms
@@ -11,8 +13,7 @@
 MAX_TRACE_STEPS = 24
 
 
-@dataclass(slots=True, eq=False)
-class PendingRequest:
+class PendingRequest(Struct, eq=False):
     """A request that has no final answer yet.
 
     Attributes:
@@ -33,8 +34,8 @@
     deadline_timer: Timer
     attempt_count: int = 0
     first_run_at_ms: float = math.inf
-    admitted_at_ms: float = field(default_factory=monotonic_ms)
-    trace: list[str] = field(default_factory=list)
+    admitted_at_ms: float = msgspec.field(default_factory=monotonic_ms)
+    trace: list[str] = msgspec.field(default_factory=list)
 
     @property
     def invocation(self) -> Invocation:
--- a/function_router/net/pool_resources.py
+++ b/function_router/net/pool_resources.py
@@ -1,6 +1,6 @@
 """What the workers of one pool share."""
 
-from dataclasses import dataclass
+from msgspec import Struct
 
 from function_router.config import TransportSettings
 from function_router.net.connection_budget import ConnectionBudget
@@ -9,8 +9,7 @@
 from function_router.net.telemetry import Telemetry
 
 
-@dataclass(slots=True)
-class PoolResources:
+class PoolResources(Struct):
     """What each worker of a pool needs for its connections, shared by all of them.
 
     Attributes:
--- a/function_router/net/timer_wheel.py
+++ b/function_router/net/timer_wheel.py
@@ -5,7 +5,8 @@
 
 import math
 from collections.abc import Callable
-from dataclasses import dataclass
+
+from msgspec import Struct
 
 from function_router.net.clock import monotonic_ms
 
@@ -15,8 +16,7 @@
 SLOTS = 512
 
 
-@dataclass(slots=True, eq=False)
-class Timer:
+class Timer(Struct, eq=False):
     """A callback that is due at a tick; the callback is None once the timer has fired or was cancelled."""
 
     due_tick: int
--- a/function_router/net/worker_messages.py
+++ b/function_router/net/worker_messages.py
@@ -9,6 +9,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from msgspec import Struct
+
 from function_router.decisions.types import Outcome, StartKind
 from function_router.net.clock import monotonic_ms
 from function_router.net.close_reason import CloseReason
@@ -39,8 +41,7 @@
 }
 
 
-@dataclass(frozen=True, slots=True)
-class Answer:
+class Answer(Struct, frozen=True):
     """A worker's answer to an exchange.
 
     Attributes:
--- a/function_router/net/write_queue.py
+++ b/function_router/net/write_queue.py
@@ -1,15 +1,15 @@
 """The bytes that a connection has yet to write, in order."""
 
 from collections import deque
-from dataclasses import dataclass
 from itertools import islice
 
+from msgspec import Struct
+
 # In one system call; well below the kernel's IOV_MAX of 1024.
 MAX_WRITES_PER_CALL = 64
 
 
-@dataclass(slots=True, eq=False)
-class PendingWrite:
+class PendingWrite(Struct, eq=False):
     """Bytes to be written, and how many of them have been."""
 
     data: bytes
