--- a/function_router/net/endpoint_watch.py
+++ b/function_router/net/endpoint_watch.py
@@ -22,8 +22,9 @@
 class EndpointWatch:
     """Follows the endpoint log: each event is applied once and in order.
 
-    Missing or invalid events are requested again once, then skipped. It owns the connection to the log
-    (`client`) and the position in it.
+    Missing events are requested again until they come. An invalid line, or an event ahead of a gap, is
+    requested again once and then skipped. It owns the connection to the log (`client`) and the position in
+    it.
     """
 
     def __init__(
--- a/function_router/net/reload.py
+++ b/function_router/net/reload.py
@@ -8,8 +8,8 @@
 from function_router.net.event_loop import EventLoop
 from function_router.net.transient_errors import is_transient
 
-# A file that can't be read for lack of descriptors or memory is tried again for this time: an event of the
-# endpoint log counts as notified 4 s after SIGHUP.
+# A file that can't be read for lack of descriptors or memory is tried again for this time: events of the
+# endpoint log count as known to the router 4 s after SIGHUP.
 RETRY_MS = 3_000.0
 RETRY_INTERVAL_MS = 50.0
 
@@ -45,10 +45,12 @@
         self._loop = loop
         self._endpoint_watch = endpoint_watch
         self._log = log
-        self._retry_until_ms: float | None = None  # monotonic; None: the file is not being retried
+        self._retry_until_ms: float | None = (
+            None  # monotonic; None: no read has failed since the last one that succeeded
+        )
 
     def run(self) -> None:
-        """Reload now, or a moment later where the file can't be read for a passing reason."""
+        """Reload now, or retry shortly where the file can't be read because of a transient error."""
         try:
             config = self._read_config()
         except UnreadableFileError as error:
@@ -73,7 +75,7 @@
         return list(dict.fromkeys(changed))
 
     def _retry_or_give_up(self, error: UnreadableFileError) -> None:
-        """Read the file again a moment later, unless it has been unreadable for too long."""
+        """Read the file again shortly, unless it has been unreadable for too long."""
         now_ms = monotonic_ms()
         if self._retry_until_ms is None:
             self._retry_until_ms = now_ms + RETRY_MS
--- a/function_router/net/sequence_tracker.py
+++ b/function_router/net/sequence_tracker.py
@@ -22,8 +22,9 @@
 class SequenceTracker:
     """Decides whether an event is the next one, and how to go on after an invalid line or a missing event.
 
-    What is invalid or missing is requested again once, then skipped, so that a line that stays invalid does
-    not hide the events behind it. The tracker has no connection and no clock.
+    Missing events are requested again until they come. An invalid line is requested again once and then
+    skipped, so that a line that stays invalid does not hide the events behind it. The tracker has no
+    connection and no clock.
     """
 
     __slots__ = (
