--- a/function_router/decisions/scaling.py
+++ b/function_router/decisions/scaling.py
@@ -62,8 +62,6 @@
         if is_warm and (self._admission.is_at_limit() or not self._speculation.update(function, now_ms)):
             return
         for _ in range(math.ceil(waiting / function.concurrency) - pending):
-            if not self._start_orders.allows_order(now_ms):
-                return
             worker = self._start_orders.choose_worker(function, now_ms, is_speculative=is_warm)
             if worker is None:
                 return
--- a/function_router/decisions/start_orders.py
+++ b/function_router/decisions/start_orders.py
@@ -36,10 +36,6 @@
         self._limits = limits
         self._outbox = outbox
 
-    def allows_order(self, now_ms: float) -> bool:
-        """Whether the limits allow one more start order."""
-        return self._limits.allows_order(now_ms)
-
     def can_start_at(
         self, function: Function, worker: Worker, now_ms: float, *, is_speculative: bool
     ) -> bool:
@@ -57,11 +53,14 @@
         return self._limits.allows_order(now_ms)
 
     def choose_worker(self, function: Function, now_ms: float, *, is_speculative: bool) -> Worker | None:
-        """The first able worker without an instance and below its load bound, or else the first able one.
+        """The worker that is to start an instance for the queue; None if none can now.
 
-        Workers are tried in the order of preference of the request at the head of the queue, then in hash
-        order.
+        That is the first one that can start an instance, has none yet and is below its load bound, or else
+        the first one that can start an instance. Workers are tried in the order of preference of the request
+        at the head of the queue, and then in hash order.
         """
+        if not self._limits.allows_order(now_ms):
+            return None
         preferred = self._placement.preferred_workers(function, function.queue[0], now_ms)
         order = preferred + self._placement.hash_order(function)
         able = (
@@ -72,12 +71,13 @@
         best = (
             worker
             for worker in order
-            if self._is_bare_below_bound(function, worker, now_ms)
+            if self._has_room_for_first(function, worker, now_ms)
             and self.can_start_at(function, worker, now_ms, is_speculative=is_speculative)
         )
         return next(best, None) or next(able, None)
 
-    def _is_bare_below_bound(self, function: Function, worker: Worker, now_ms: float) -> bool:
+    def _has_room_for_first(self, function: Function, worker: Worker, now_ms: float) -> bool:
+        """Whether a worker has no instance yet, and is below its load bound."""
         pool = function.pools.get(worker.id)
         if pool is not None and self._instances.count(pool, worker, now_ms):
             return False
