--- a/tests/decisions/test_start_order_limits.py
+++ b/tests/decisions/test_start_order_limits.py
@@ -3,7 +3,10 @@
 from helpers.decision_harness import DecisionHarness, actions_of, start_orders
 
 from function_router.decisions.actions import EnsureInstances
+from function_router.decisions.arrivals import MAX_START_ORDER_DELAY_MS, Arrivals
 from function_router.decisions.events import RequestCancelled
+from function_router.decisions.settings import Settings
+from function_router.decisions.start_order_limits import StartOrderLimits
 
 
 def test_start_orders_are_limited_by_the_number_of_requests():
@@ -56,3 +59,51 @@
 
     assert lowered_limit < initial_limit
     assert raised_limit > lowered_limit
+
+
+# --- orders that are sent later than they were decided ---------------------------------------------
+
+LATE_MS = MAX_START_ORDER_DELAY_MS + 1.0
+
+
+def limits_with_orders(*sent_ms):
+    """A rate limit of two start orders in any 5 s, and orders that count as of these times."""
+    settings = Settings(start_order_window_ms=5000.0, start_order_burst=2.0)
+    limits = StartOrderLimits(settings, Arrivals(settings))
+    for time_ms in sent_ms:
+        limits.record_order(time_ms)
+    return limits
+
+
+def test_order_that_is_sent_soon_stays_counted_as_of_its_decision():
+    limits = limits_with_orders(100.0)
+
+    counted_ms = limits.revalidate(100.0, now_ms=100.0 + MAX_START_ORDER_DELAY_MS)
+
+    assert counted_ms == 100.0
+    assert list(limits.sent) == [100.0]
+
+
+def test_order_that_is_sent_late_counts_as_of_then():
+    limits = limits_with_orders(100.0)
+
+    counted_ms = limits.revalidate(100.0, now_ms=100.0 + LATE_MS)
+
+    assert counted_ms == 100.0 + LATE_MS
+    assert list(limits.sent) == [100.0 + LATE_MS]
+
+
+def test_order_that_is_sent_late_is_forbidden_if_later_ones_have_used_up_the_limit():
+    limits = limits_with_orders(100.0, 5000.0, 5100.0)
+
+    counted_ms = limits.revalidate(100.0, now_ms=5200.0)
+
+    assert counted_ms is None
+    assert list(limits.sent) == [5000.0, 5100.0]
+
+
+def test_no_order_is_allowed_while_the_limit_is_used_up():
+    limits = limits_with_orders(100.0, 200.0)
+
+    assert not limits.allows_order(5000.0)
+    assert limits.allows_order(5200.0)
