--- a/function_router/decisions/dispatch.py
+++ b/function_router/decisions/dispatch.py
@@ -64,6 +64,8 @@
         self._dispatch_by_urgency(queued, now_ms)
 
     def _dispatch_by_urgency(self, functions: list[Function], now_ms: float) -> None:
+        """Dispatch functions in the order of their most urgent requests."""
+
         def urgency(function: Function) -> Urgency:
             return min(self._admission.urgency(request, now_ms) for request in function.queue)
 
@@ -115,6 +117,7 @@
         return min(beyond_bound, key=lambda worker: worker.in_flight, default=None)
 
     def _may_send_to(self, request: Request, worker: Worker, limit_fraction: float, now_ms: float) -> bool:
+        """Whether a worker is usable, has capacity and is allowed by the retry policy."""
         if not self._health.is_usable(worker, request.request_class.name, now_ms):
             return False
         if not self._placement.has_capacity(worker, now_ms, fraction=limit_fraction):
--- a/function_router/decisions/feedback.py
+++ b/function_router/decisions/feedback.py
@@ -51,6 +51,7 @@
         return became_unresponsive
 
     def _record_served(self, event: AttemptEnded, attempt: Attempt, now_ms: float) -> None:
+        """Learn from an answer. Its duration counts as a run time unless it includes a cold start."""
         function = attempt.function
         run_ms = event.duration_ms
         self._instances.record_served(event, attempt, now_ms)
--- a/function_router/decisions/health.py
+++ b/function_router/decisions/health.py
@@ -164,6 +164,7 @@
         return True
 
     def _ping(self, worker: Worker, now_ms: float) -> None:
+        """Probe the function last used at a worker, if possible. The worker times out in any case."""
         worker.pinged_ms = now_ms
         is_removed = worker.endpoint.state == WorkerState.REMOVED
         if worker.last_function and self._can_ping and not is_removed:
--- a/function_router/decisions/placement.py
+++ b/function_router/decisions/placement.py
@@ -126,6 +126,7 @@
         )
 
     def _is_warm_at(self, function: Function, worker: Worker, now_ms: float) -> bool:
+        """Whether a worker is usable and believed to have an instance."""
         if not self._health.is_usable(worker, function.class_name, now_ms):
             return False
         return self._instances.count(function.pools[worker.id], worker, now_ms) > 0
--- a/function_router/decisions/router.py
+++ b/function_router/decisions/router.py
@@ -62,6 +62,7 @@
         self._handlers = self._handlers_by_event()
 
     def _handlers_by_event(self) -> dict[type[events.Event], Callable[..., None]]:
+        """The handler of each kind of event, called with the event and its time."""
         return {
             events.EndpointsChanged: self._on_endpoints_changed,
             events.RequestArrived: self._on_request_arrived,
@@ -103,11 +104,13 @@
         return self.start_order_limits.revalidate(counted_ms, now_ms)
 
     def _on_endpoints_changed(self, event: events.EndpointsChanged, now_ms: float) -> None:
+        """Apply the list, and dispatch what is queued, as other workers may take it now."""
         self.fleet.update_endpoints(event)
         self._refresh(now_ms)
         self._dispatcher.dispatch_all(now_ms)
 
     def _on_request_arrived(self, event: events.RequestArrived, now_ms: float) -> None:
+        """Queue the request, look for instances if none is known, and dispatch its function."""
         self.fleet.arrivals.record(event, now_ms)
         request = self._make_request(event, now_ms)
         function = request.function
@@ -122,6 +125,7 @@
         self._dispatcher.dispatch(function, now_ms)
 
     def _make_request(self, event: events.RequestArrived, now_ms: float) -> Request:
+        """The record of a new request, with its function, class, deadline and random bits."""
         functions = self.fleet.functions
         if functions.is_full() and event.function not in functions.by_name:
             self.fleet.forget_unused(now_ms)
@@ -141,12 +145,17 @@
         )
 
     def _on_request_cancelled(self, event: events.RequestCancelled, _now_ms: float) -> None:
+        """Close the request without an answer. Its attempts are cancelled and end by themselves."""
         self.fleet.arrivals.cancel(event)
         request = self.requests.by_id.get(event.request_id)
         if request is not None:
             self._answers.close(request)
 
     def _on_attempt_ended(self, event: events.AttemptEnded, now_ms: float) -> None:
+        """Learn from the end, close or retry the request, and use the slot that has become free.
+
+        By then, the request may be closed already, or queued again for a hedge.
+        """
         attempt = self.requests.end_attempt(event)
         if attempt is None:
             return
@@ -164,6 +173,7 @@
         self._dispatcher.dispatch(function, now_ms)
 
     def _on_instances_reported(self, event: events.InstancesReported, now_ms: float) -> None:
+        """Learn from the report, end the start order or probe that it answers, and dispatch the function."""
         function = self.fleet.functions.by_name.get(event.function)
         worker = self.fleet.workers.by_id.get(event.worker_id)
         if function is None or worker is None:
@@ -180,6 +190,7 @@
         self._dispatcher.dispatch(function, now_ms)
 
     def _on_timer_fired(self, _event: events.TimerFired, now_ms: float) -> None:
+        """Check all that depends on time: due requests, hedges, lost attempts, silent workers, limits."""
         self._is_timer_set = False
         capacity = self.fleet.capacity
         for request in list(self.requests.by_id.values()):
@@ -197,6 +208,7 @@
             self._dispatcher.dispatch_all(now_ms)
 
     def _on_drain_started(self, event: events.DrainStarted, now_ms: float) -> None:
+        """Shorten all deadlines, so that each request is answered before the process ends."""
         for request in self.requests.by_id.values():
             request.deadline_ms = min(request.deadline_ms, now_ms + event.within_ms)
 
--- a/function_router/decisions/speculation.py
+++ b/function_router/decisions/speculation.py
@@ -44,6 +44,7 @@
         return max(now_ms - oldest_ms, function.queue_waits.median(now_ms) or 0.0)
 
     def _turn(self, function: Function) -> None:
+        """Turn the switch, and forget the times by which it was turned."""
         function.speculates = not function.speculates
         function.idle_before_use_ms = 0.0
         function.queue_waits.clear()
--- a/function_router/decisions/workers.py
+++ b/function_router/decisions/workers.py
@@ -40,12 +40,14 @@
         self.largest_size = max(self.largest_size, sum(worker.machine_size for worker in self.ready))
 
     def _mark_missing_as_removed(self, endpoints: list[Endpoint]) -> None:
+        """Mark the workers that a complete list no longer names."""
         listed = {endpoint.worker_id for endpoint in endpoints}
         for worker_id in self.by_id.keys() - listed:
             worker = self.by_id[worker_id]
             worker.endpoint = structs.replace(worker.endpoint, state=WorkerState.REMOVED)
 
     def _apply(self, endpoint: Endpoint) -> None:
+        """Add or update one worker; a later start time than the one known restarts its slow start."""
         worker = self.by_id.get(endpoint.worker_id)
         if worker is None:
             worker = Worker(endpoint.worker_id, endpoint, hash64(str(endpoint.worker_id)))
