--- a/tests/helpers/__init__.py
+++ b/tests/helpers/__init__.py
@@ -21,5 +21,5 @@
 builds configurations and events of the endpoint log.
 
 `fake_clock` stands in for the monotonic clock, `sockets` waits for a socket, `readers` feeds a parser in
-chunks, and `known_red` reads KNOWN-RED.txt.
+chunks, `repository` knows the files of the repository, and `known_red` reads KNOWN-RED.txt.
 """
--- a/tests/helpers/program_launcher.py
+++ b/tests/helpers/program_launcher.py
@@ -3,16 +3,15 @@
 import os
 import subprocess
 import sys
-from pathlib import Path
 
 import msgspec
 import pytest
 
 from helpers.configuration import router_config
 from helpers.fake_endpoint_log import FakeEndpointLog
+from helpers.repository import ROOT
 from helpers.sockets import wait_readable
 
-ROOT = Path(__file__).parent.parent.parent
 OVERRIDES = ("ROUTER_LISTEN", "ROUTER_NAME")  # variables that take precedence over the configuration
 MAX_ROUNDS = 4000  # of serving the peers, until a condition counts as never met
 ROUND_S = 0.005  # of waiting for the client in each of them
--- a/tests/test_code_shape.py
+++ b/tests/test_code_shape.py
@@ -2,11 +2,10 @@
 
 import ast
 from graphlib import CycleError, TopologicalSorter
-from pathlib import Path
 
 import pytest
+from helpers.repository import ROOT, imported_modules
 
-ROOT = Path(__file__).parent.parent
 PACKAGES = ("function_router", "soak")
 
 MAX_FILE_LINES = 400
@@ -46,18 +45,6 @@
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
-def imported_modules(path, modules):
-    """Those of the modules that a file imports anywhere, also if only a type checker reads the import."""
-    imported = set()
-    for node in ast.walk(ast.parse(path.read_text())):
-        if isinstance(node, ast.Import):
-            imported |= {alias.name for alias in node.names}
-        elif isinstance(node, ast.ImportFrom):
-            names = {f"{node.module}.{alias.name}" for alias in node.names}
-            imported |= {name if name in modules else node.module for name in names}
-    return imported & modules
-
-
 def find_cycle(imports):
     """The modules of an import cycle, in its order; empty if there is none."""
     try:
@@ -71,6 +58,6 @@
 def test_modules_do_not_import_each_other_in_a_cycle(package):
     paths = {module_name(path): path for path in (ROOT / package).rglob("*.py")}
 
-    imports = {name: imported_modules(path, paths.keys()) for name, path in paths.items()}
+    imports = {name: imported_modules(path) & paths.keys() for name, path in paths.items()}
 
     assert find_cycle(imports) == []
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -3,11 +3,10 @@
 import shutil
 import subprocess
 import tomllib
-from pathlib import Path
 
 import pytest
+from helpers.repository import ROOT
 
-ROOT = Path(__file__).parent.parent
 DEPLOYMENT = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
 # Stands in for `python3 -m venv .venv`, and notes in the environment how many it has made.
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 
 import pytest
+from helpers.repository import ROOT
 
-ROOT = Path(__file__).parent.parent
 SOURCE_FOLDERS = ("function_router", "soak", "tests")
 FOLDERS = ("deploy", "docs", *SOURCE_FOLDERS)
 PAGES = [ROOT / "README.md", *sorted((ROOT / "docs").rglob("*.md"))]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -4,12 +4,9 @@
 import shutil
 import subprocess
 import sys
-from pathlib import Path
 
 import pytest
-
-TESTS = Path(__file__).parent
-ROOT = TESTS.parent
+from helpers.repository import ROOT, TESTS
 
 RED_LINE = "tests/test_one.py::test_red, the cause, in short, 5\n"
 GOOD_LINE = "tests/test_one.py::test_good, the cause, in short, 5\n"
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -3,14 +3,10 @@
 import ast
 import re
 import tomllib
-from pathlib import Path
 
 import pytest
+from helpers.repository import PACKAGE, ROOT, SOAK, TESTS, imported_modules
 
-ROOT = Path(__file__).parent.parent
-TESTS = ROOT / "tests"
-PACKAGE = ROOT / "function_router"
-SOAK = ROOT / "soak"
 DEPLOYMENT = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 DECISION_FILES = DEPLOYMENT["policy"]
 GENERAL_MODULES = ["statistics", "limits", "hashing"]  # structures that the decisions use
@@ -114,17 +110,6 @@
     assert is_listed or (path.name in DECLARATIVE_MODULES and decides == [])
 
 
-def imported_modules(tree):
-    """The names of all modules that are imported, at the top or elsewhere."""
-    modules = set()
-    for node in ast.walk(tree):
-        if isinstance(node, ast.Import):
-            modules |= {alias.name for alias in node.names}
-        elif isinstance(node, ast.ImportFrom):
-            modules.add(node.module)
-    return modules
-
-
 def called_names(tree):
     """The plain names that are called, such as those of builtins."""
     calls = [node for node in ast.walk(tree) if isinstance(node, ast.Call)]
@@ -133,10 +118,8 @@
 
 @pytest.mark.parametrize("path", [*DECISION_FILES, *GENERAL_FILES])
 def test_decisions_have_no_clock_random_source_socket_or_builtin_hash(path):
-    tree = ast.parse(read(path))
-
-    assert imported_modules(tree) <= ALLOWED_IMPORTS
-    assert "hash" not in called_names(tree)
+    assert imported_modules(ROOT / path) <= ALLOWED_IMPORTS
+    assert "hash" not in called_names(ast.parse(read(path)))
 
 
 @pytest.mark.parametrize("call", ["SendRequest(", "self._send("])
