--- a/function_router/net/connect_retry.py
+++ b/function_router/net/connect_retry.py
@@ -6,7 +6,7 @@
 from function_router.net.close_reason import CloseReason
 from function_router.net.timer_wheel import Timer, TimerWheel
 
-# Between retries: short beside a cold start, and long enough for a port or a descriptor to become free.
+# Between retries: descriptors, ports or memory that this machine lacked may be free again by then.
 RETRY_INTERVAL_MS = 20.0
 # After this time the queued exchanges are reported as not sent: the decisions may send them elsewhere.
 MAX_RETRY_MS = 200.0
--- a/function_router/net/send_checks.py
+++ b/function_router/net/send_checks.py
@@ -52,10 +52,6 @@
         invariants.record(Invariant.TIMEOUT_PASSED_ON, f"{_describe(exchange)}: {excess_ms:.0f} ms")
 
 
-def _describe(exchange: Exchange) -> str:
-    return f"{exchange.exchange_id.hex()} at worker {exchange.worker_id}"
-
-
 def check_request(
     request: PendingRequest,
     request_class: RequestClass | None,
@@ -92,3 +88,7 @@
     started = [attempt.created_at_ms for attempt in attempts if attempt.is_started]
     first_run_at_ms = min([request.first_run_at_ms, *started])
     return now_ms - first_run_at_ms < request_class.idempotency_window_ms - IDEMPOTENCY_WINDOW_MARGIN_MS
+
+
+def _describe(exchange: Exchange) -> str:
+    return f"{exchange.exchange_id.hex()} at worker {exchange.worker_id}"
--- a/function_router/net/worker_pool.py
+++ b/function_router/net/worker_pool.py
@@ -23,7 +23,9 @@
 
 
 class WorkerPool:
-    """Owns the workers, by which their connections are opened and closed.
+    """Owns the workers by their ids; all exchanges with workers go through it.
+
+    Each worker owns its connections and dispatches its exchanges, see `PooledWorker`.
 
     Attributes:
         workers: The workers by id: those that the endpoint list names, and removed ones with exchanges left.
--- a/tests/net/test_connect_retry.py
+++ b/tests/net/test_connect_retry.py
@@ -10,7 +10,7 @@
 from helpers.fake_worker import FakeWorker
 from helpers.process_harness import UNLISTED_WORKER_ID
 
-from function_router.decisions.types import Outcome
+from function_router.decisions.types import Outcome, WorkerState
 from function_router.net import connect_retry
 from function_router.net.close_reason import CloseReason, outcome_of
 from function_router.net.connect_retry import MAX_RETRY_MS, RETRY_INTERVAL_MS, ConnectRetry
@@ -95,6 +95,19 @@
 # --- in a router
 
 
+def test_refused_connection_proves_that_the_attempt_did_not_run(start_router):
+    results = []
+    worker = FakeWorker("s-9")
+    worker.close()
+    harness = start_router()
+    harness.pool.update_endpoint(UNLISTED_WORKER_ID, worker.address, WorkerState.READY, 0.0)
+
+    harness.pool.send(attempt(UNLISTED_WORKER_ID, results))
+    harness.run_until(lambda: results, "the attempt ends")
+
+    assert results == [(CloseReason.CONNECTION_REFUSED, False)]
+
+
 def test_connect_that_fails_on_this_machine_for_a_moment_is_tried_again_while_the_exchange_waits(
     start_router,
 ):
--- a/tests/net/test_event_ordering_requests.py
+++ b/tests/net/test_event_ordering_requests.py
@@ -8,7 +8,6 @@
 
 import pytest
 from helpers.configuration import SETTINGS
-from helpers.exchanges import attempt
 from helpers.fake_worker import FakeWorker
 from helpers.process_harness import OTHER_UNLISTED_WORKER_ID, UNLISTED_WORKER_ID
 from helpers.sockets import wait_readable
@@ -141,19 +140,6 @@
     assert (other.requests, harness.table.attempts.by_key) == ([], {})
 
 
-def test_refused_connection_proves_that_the_attempt_did_not_run(start_router):
-    results = []
-    worker = FakeWorker("s-9")
-    worker.close()
-    harness = start_router()
-    harness.pool.update_endpoint(UNLISTED_WORKER_ID, worker.address, WorkerState.READY, 0.0)
-
-    harness.pool.send(attempt(UNLISTED_WORKER_ID, results))
-    harness.run_until(lambda: results, "the attempt ends")
-
-    assert results == [(CloseReason.CONNECTION_REFUSED, False)]
-
-
 def test_send_of_a_request_that_has_just_finished_is_reported_as_not_sent(start_router):
     harness, _, client, client_connection = admit_request(start_router, CANCEL_ALLOWED)
     [key] = harness.table.pending
