--- a/tests/net/test_invariants.py
+++ b/tests/net/test_invariants.py
@@ -34,6 +34,7 @@
 
 def test_attempt_and_answer_by_the_rules_violate_nothing(harness, worker):
     results = []
+
     harness.pool.send(attempt(UNLISTED_WORKER_ID, results))
     harness.run_until(lambda: worker.requests, "it runs")
     worker.answer(worker.requests[0])
@@ -45,6 +46,7 @@
 def test_first_byte_to_a_draining_worker_is_counted(harness, worker):
     harness.pool.send(attempt(UNLISTED_WORKER_ID, []))
     harness.pool.workers[UNLISTED_WORKER_ID].state = WorkerState.DRAINING  # as if nothing was returned
+
     harness.run_until(lambda: worker.requests, "it runs")
 
     assert violations(harness) == {Invariant.STARTED_BY_THE_RULES: 1}
@@ -54,26 +56,53 @@
 def test_more_time_than_the_client_has_left_is_counted(harness, worker):
     late = attempt(UNLISTED_WORKER_ID, [])
     harness.pool.send(late)
+
     late.encoded_timeout_ms += 1_000.0
     harness.run_until(lambda: worker.requests, "it runs")
 
     assert violations(harness) == {Invariant.TIMEOUT_PASSED_ON: 1}
 
 
-def test_late_or_second_answer_and_a_close_without_answers_are_counted(harness):
+@pytest.fixture
+def late_answer(harness):
+    """A client whose request was answered late, and that request."""
     client = harness.connect_client()
     client.send_request()
     harness.run_until(lambda: harness.table.pending, "it is admitted")
     [request] = harness.table.pending.values()
-    served = harness.only_client_connection()
-
     request.deadline_ms -= 60_000.0
     harness.table._finish(request.key, Failed())
+    return client, request
+
+
+def test_late_answer_is_counted(harness, late_answer):
+    client, _ = late_answer
+
+    harness.run_until(lambda: client.answers, "it is answered")
+
+    assert violations(harness) == {Invariant.ANSWERED_IN_TIME: 1}
+    assert client.answer_kinds() == {1: "broken"}
+
+
+def test_second_answer_is_counted_and_not_sent(harness, late_answer):
+    client, request = late_answer
+
+    request.client_request.reply(Failed())
+    harness.run_until(lambda: client.answers, "it is answered")
+
+    assert violations(harness) == {Invariant.ANSWERED_IN_TIME: 1, Invariant.ONE_ANSWER: 1}
+    assert client.answer_kinds() == {1: "broken"}
+    assert len(client.answers) == 1
+
+
+def test_close_without_answers_is_counted(harness, late_answer):
+    client, request = late_answer
     request.client_request.reply(Failed())
     harness.run_until(lambda: client.answers, "it is answered")
     client.send_request()
     harness.run_until(lambda: harness.table.pending, "another one is admitted")
-    served.connection.close(CloseReason.IDLE)
+
+    harness.only_client_connection().connection.close(CloseReason.IDLE)
 
     assert violations(harness) == {
         Invariant.ANSWERED_IN_TIME: 1,
@@ -85,6 +114,7 @@
 
 def test_violations_are_in_the_line_of_the_counters(harness):
     telemetry = harness.router_process.telemetry
+
     telemetry.invariants.record(Invariant.ONE_ANSWER, "by the test")
 
     assert "invariants violated 1" in telemetry.take_counters()
