--- a/function_router/net/drain.py
+++ b/function_router/net/drain.py
@@ -59,7 +59,7 @@
         drained_for_ms = monotonic_ms() - self._started_ms
         has_timed_out = drained_for_ms > MAX_DRAIN_MS
         if has_timed_out or (drained_for_ms > LATE_ARRIVALS_MS and not self._has_pending_work()):
-            self._loop.running = False
+            self._loop.stop()
         else:
             self._loop.timers.call_later(CHECK_INTERVAL_MS, self._stop_if_complete)
 
--- a/function_router/net/event_loop.py
+++ b/function_router/net/event_loop.py
@@ -16,7 +16,7 @@
 # A turn that has taken longer polls the sockets again before it writes: the client of a request may have
 # disconnected meanwhile, and an attempt must not start more than 100 ms after that.
 MAX_POLL_AGE_MS = 40.0
-# After a poll that took longer it is too uncertain at which moment the sockets were examined.
+# After a poll that took longer, it is too uncertain when the sockets were examined.
 MAX_POLL_UNCERTAINTY_MS = 5.0
 # Polls without a wait that follow such a poll, until one finds something; each may be interrupted as well.
 MAX_CONFIRMING_POLLS = 2
@@ -26,6 +26,9 @@
 READ = selectors.EVENT_READ
 WRITE = selectors.EVENT_WRITE
 
+ReadySockets = list[tuple[selectors.SelectorKey, int]]
+"""What a poll has found: registered sockets, each with the mask of what it is ready for."""
+
 
 class Flushable(Protocol):
     """Something that queues writes during a turn and writes them at its end."""
@@ -43,7 +46,7 @@
     Attributes:
         timers: The timer wheel, which each turn advances.
         clock: The decision module's clock.
-        running: `run` returns at the end of the turn in which this becomes False.
+        is_running: Whether `run` goes on after the current turn.
         turn_started_ms: When the current turn's poll returned, on the monotonic clock. Whatever happens in a
             turn counts as of then, even if the process stalls during the turn.
         turn_started_unix_ms: The same moment on the wall clock.
@@ -62,7 +65,7 @@
         """
         self.timers = TimerWheel()
         self.clock = Clock()
-        self.running = True
+        self.is_running = True
         self.turn_started_ms = monotonic_ms()
         self.turn_started_unix_ms = unix_ms()
         self.previous_poll_ms = self.turn_started_ms
@@ -102,10 +105,14 @@
     # --- turns --------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Run turns until `running` is False."""
-        while self.running:
+        """Run turns until `stop` is called."""
+        while self.is_running:
             self.run_once()
 
+    def stop(self) -> None:
+        """Have `run` return at the end of the current turn."""
+        self.is_running = False
+
     def run_once(self, max_wait_s: float | None = None) -> None:
         """Wait for a socket or a timer, `max_wait_s` at the longest, and run one turn."""
         ready = self._poll(self._wait_s(max_wait_s))
@@ -114,7 +121,7 @@
         if took_ms > SLOW_TURN_MS:
             self._log(f"slow turn: {took_ms:.0f} ms for {len(ready)} sockets")
 
-    def _poll(self, wait_s: float | None) -> list[tuple[selectors.SelectorKey, int]]:
+    def _poll(self, wait_s: float | None) -> ReadySockets:
         """Wait until a socket is ready, and record the time of the poll.
 
         The time of a poll is taken before its system call, as SIGSTOP may stop the process while the call
@@ -137,7 +144,7 @@
         return ready
 
     def _start_turn(self) -> None:
-        """Read both clocks, and note by how much the wall clock was set since they were read last."""
+        """Read both clocks, and note by how much the wall clock was set since the last time."""
         previous_offset_ms = self.turn_started_unix_ms - self.turn_started_ms
         self.turn_started_ms = monotonic_ms()
         self.turn_started_unix_ms = unix_ms()
@@ -146,6 +153,7 @@
         self.clock.note_wall_clock(offset_ms)
 
     def _wait_s(self, max_wait_s: float | None) -> float | None:
+        """How long the next poll may wait for a socket; None where there is no limit."""
         if self._pending_events or self._to_flush:
             return 0.0
         until_timer_s = self.timers.seconds_until_next()
@@ -155,7 +163,7 @@
             return until_timer_s
         return min(until_timer_s, max_wait_s)
 
-    def _run_turn(self, ready: list[tuple[selectors.SelectorKey, int]], now_ms: float) -> None:
+    def _run_turn(self, ready: ReadySockets, now_ms: float) -> None:
         self._call_ready(ready)
         self.timers.advance(self.turn_started_ms)
         if self._pending_events:
@@ -169,7 +177,7 @@
         for part in to_flush:
             self.guard(part.flush)
 
-    def _call_ready(self, ready: list[tuple[selectors.SelectorKey, int]]) -> None:
+    def _call_ready(self, ready: ReadySockets) -> None:
         for key, mask in ready:
             # An earlier callback of this turn may have closed the socket, whose descriptor may belong to
             # another one by now, or may have changed what it is watched for.
--- a/tests/net/test_drain.py
+++ b/tests/net/test_drain.py
@@ -25,11 +25,11 @@
 def expect_answered(harness, worker, client):
     """The request reaches the worker, its answer the client, and the loop stops only then."""
     loop = harness.router_process.loop
-    assert loop.running
+    assert loop.is_running
     harness.run_until(lambda: worker.requests, "the request runs")
     worker.answer(worker.requests[0], body=b"late")
     harness.run_until(
-        lambda: client.answers and not loop.running, "the request is answered, and the loop stops"
+        lambda: client.answers and not loop.is_running, "the request is answered, and the loop stops"
     )
     assert client.answers[-1][1:] == ("answer", {1: b"late", 2: {}, 3: True})
 
@@ -75,7 +75,7 @@
 
     drain_past_late_arrivals(harness)
 
-    assert not harness.router_process.loop.running
+    assert not harness.router_process.loop.is_running
 
 
 def test_requests_that_would_be_pending_when_the_process_is_killed_are_answered_before(
@@ -94,7 +94,7 @@
     assert clock.monotonic_ms() - started_ms < 4000.0  # their clients would wait for twice that
     kinds = {seqid: kind for seqid, kind in client.answer_kinds().items() if seqid < 10}
     assert kinds == {1: "throttled", 2: "broken", 3: "throttled"}
-    harness.run_until(lambda: not harness.router_process.loop.running, "the loop stops")
+    harness.run_until(lambda: not harness.router_process.loop.is_running, "the loop stops")
 
 
 def test_pending_request_is_answered_before_the_kill_even_if_the_decisions_fail(harness, worker, client):
@@ -137,6 +137,6 @@
     harness.round_trip(client)
 
     assert worker.requests + other.requests == []
-    assert process.loop.running
+    assert process.loop.is_running
     client.cancel(1)
-    harness.run_until(lambda: not process.loop.running, "the loop stops")
+    harness.run_until(lambda: not process.loop.is_running, "the loop stops")
--- a/tests/net/test_event_loop.py
+++ b/tests/net/test_event_loop.py
@@ -173,12 +173,12 @@
     assert len(called) == 1
 
 
-def test_run_goes_on_until_running_is_false(loop):
+def test_run_goes_on_until_the_loop_is_stopped(loop):
     turns = []
 
     def stop():
         turns.append(loop.turn_started_ms)
-        loop.running = False
+        loop.stop()
 
     loop.timers.call_later(1.0, stop)
 
--- a/tests/net/test_router_process.py
+++ b/tests/net/test_router_process.py
@@ -6,7 +6,7 @@
 
 def test_router_that_cannot_read_its_configuration_again_ignores_sighup(harness):
     process = harness.router_process
-    process.loop.running = False
+    process.loop.stop()
     with (
         mock.patch.object(process.loop, "handle_signals") as handle_signals,
         mock.patch.object(process, "close"),
