--- a/function_router/net/client_messages.py
+++ b/function_router/net/client_messages.py
@@ -46,7 +46,7 @@
         """Whether the client has sent anything."""
         return self.has_received_message or self._frames.has_partial_frame
 
-    def feed(self, data: bytes) -> list[thrift.Message | thrift.MalformedMessageError]:
+    def feed(self, data: bytes) -> list[thrift.MessageOrError]:
         """Add bytes; return the messages that are complete now, in order, or errors in their places."""
         had_partial_message = self._frames.has_partial_frame
         messages = self._frames.feed(data)
--- a/function_router/net/client_session.py
+++ b/function_router/net/client_session.py
@@ -16,17 +16,13 @@
 from function_router.net.codecs import thrift
 from function_router.net.connection import Connection
 from function_router.net.invariants import Invariant
-from function_router.net.request_parser import (
-    FIELD_REQUEST_ID,
-    InvalidFieldError,
-    parse_invocation,
-)
+from function_router.net.request_parser import FIELD_REQUEST_ID, InvalidFieldError, parse_invocation
 from function_router.net.request_table import RequestTable
 from function_router.net.telemetry import Telemetry
 
 # The log lines on clients share a rate limit of their own.
 LOG_SOURCE = "clients"
-# On one connection.
+# Of one client.
 MAX_PENDING_REQUESTS = 32
 
 
@@ -63,19 +59,17 @@
         self._service = service
         self._connection = connection
 
-    def on_message(self, message: thrift.Message | thrift.MalformedMessageError, age_ms: float) -> None:
+    def on_message(self, message: thrift.MessageOrError, age_ms: float) -> None:
         """Handle a message that was unread for `age_ms`, or the error of one that could not be read."""
-        if isinstance(message, thrift.MalformedMessageError):
-            self._on_malformed_message(message)
-        elif isinstance(message, thrift.Handle):
-            self._on_handle(message, age_ms)
-        elif isinstance(message, thrift.Withdraw):
-            self._on_withdraw(message)
-        else:
-            is_ready = self._service.is_ready
-            self._connection.write(
-                thrift.encode_reply(thrift.METHOD_STATUS, message.seqid, b"", is_ok=is_ready)
-            )
+        match message:
+            case thrift.Handle():
+                self._on_handle(message, age_ms)
+            case thrift.Withdraw():
+                self._on_withdraw(message)
+            case thrift.Status():
+                self._on_status(message)
+            case thrift.MalformedMessageError():
+                self._on_malformed_message(message)
 
     def finish(self, reason: CloseReason) -> None:
         """Fail the pending requests, so that each has its answer, and close once all is written."""
@@ -93,19 +87,6 @@
 
     # --- messages -----------------------------------------------------------------------------
 
-    def _on_malformed_message(self, error: thrift.MalformedMessageError) -> None:
-        self._service.telemetry.log(f"client: {error}", LOG_SOURCE)
-        # Under the sequence number of a pending request the exception would pass for that request's answer.
-        if error.seqid is None or error.seqid in self.pending:
-            self.finish(CloseReason.PROTOCOL_ERROR)
-        else:
-            self._connection.write(thrift.encode_application_exception(error))
-
-    def _on_withdraw(self, message: thrift.Withdraw) -> None:
-        key = self.pending.pop(message.seqid, None)
-        if key is not None:
-            self._service.table.cancel_request(key)
-
     def _on_handle(self, message: thrift.Handle, age_ms: float) -> None:
         try:
             invocation = self._parse(message)
@@ -113,7 +94,7 @@
             error.seqid = message.seqid
             self._on_malformed_message(error)
             return
-        # The check for another request of the same id may have found that this very client is gone.
+        # The check whether another request with this id is pending may have found that this client is gone.
         if self._connection.is_closed:
             return
         seqid = message.seqid
@@ -144,6 +125,26 @@
             raise InvalidFieldError(FIELD_REQUEST_ID, "the id of an open request")
         return invocation
 
+    def _on_withdraw(self, message: thrift.Withdraw) -> None:
+        key = self.pending.pop(message.seqid, None)
+        if key is not None:
+            self._service.table.cancel_request(key)
+
+    def _on_status(self, message: thrift.Status) -> None:
+        is_ready = self._service.is_ready
+        self._connection.write(thrift.encode_reply(thrift.METHOD_STATUS, message.seqid, b"", is_ok=is_ready))
+
+    def _on_malformed_message(self, error: thrift.MalformedMessageError) -> None:
+        """Answer with an exception; close the connection where the client could not tell what that is for.
+
+        Under the sequence number of a pending request it would pass for that request's answer.
+        """
+        self._service.telemetry.log(f"client: {error}", LOG_SOURCE)
+        if error.seqid is None or error.seqid in self.pending:
+            self.finish(CloseReason.PROTOCOL_ERROR)
+        else:
+            self._connection.write(thrift.encode_application_exception(error))
+
     # --- answers ------------------------------------------------------------------------------
 
     def _is_client_connected(self) -> bool:
@@ -153,6 +154,7 @@
         return not self._connection.is_closed
 
     def _reply(self, seqid: int, answer: FinalAnswer) -> None:
+        """Answer a pending request, and forget it."""
         if self.pending.pop(seqid, None) is None:
             detail = f"a second one under number {seqid}"
             self._service.telemetry.invariants.record(Invariant.ONE_ANSWER, detail)
@@ -162,8 +164,10 @@
 
 def encode_answer(seqid: int, answer: FinalAnswer) -> bytes:
     """The message that answers the request with this sequence number."""
-    if isinstance(answer, Served):
-        return thrift.encode_reply(thrift.METHOD_HANDLE, seqid, answer.body, is_ok=True)
-    if isinstance(answer, Rejected):
-        return thrift.encode_throttled(seqid, math.ceil(max(0.0, answer.retry_after_ms)))
-    return thrift.encode_broken(seqid)
+    match answer:
+        case Served():
+            return thrift.encode_reply(thrift.METHOD_HANDLE, seqid, answer.body, is_ok=True)
+        case Rejected():
+            return thrift.encode_throttled(seqid, math.ceil(max(0.0, answer.retry_after_ms)))
+        case Failed():
+            return thrift.encode_broken(seqid)
--- a/function_router/net/codecs/thrift.py
+++ b/function_router/net/codecs/thrift.py
@@ -21,6 +21,7 @@
     Handle,
     MalformedMessageError,
     Message,
+    MessageOrError,
     Status,
     Withdraw,
 )
@@ -60,6 +61,7 @@
     "Handle",
     "MalformedMessageError",
     "Message",
+    "MessageOrError",
     "Status",
     "Withdraw",
     "encode_application_exception",
--- a/function_router/net/codecs/thrift_protocol.py
+++ b/function_router/net/codecs/thrift_protocol.py
@@ -102,3 +102,7 @@
 
 
 Message = Handle | Withdraw | Status
+"""A message that a client sends."""
+
+MessageOrError = Message | MalformedMessageError
+"""What a frame holds: a message, or the error of one that is malformed."""
--- a/function_router/net/codecs/thrift_reader.py
+++ b/function_router/net/codecs/thrift_reader.py
@@ -22,6 +22,7 @@
     Handle,
     MalformedMessageError,
     Message,
+    MessageOrError,
     Status,
     TruncatedMessageError,
     Withdraw,
@@ -62,14 +63,14 @@
         """Whether more of an oversized frame, which is discarded, has yet to come."""
         return self._bytes_to_skip > 0
 
-    def feed(self, data: bytes) -> list[Message | MalformedMessageError]:
+    def feed(self, data: bytes) -> list[MessageOrError]:
         """Add bytes; return the messages that are complete now, in order.
 
         A frame that is not a valid message is returned as an error. After an error without a sequence number
         nothing that follows can be read: the connection is to be closed.
         """
         self._buffer += data
-        found: list[Message | MalformedMessageError] = []
+        found: list[MessageOrError] = []
         start = self._skip_oversized_frame(0)
         while (size := self._frame_size(start)) is not None:
             payload_start = start + _U32.size
@@ -157,7 +158,7 @@
     return MessageHead(version & MESSAGE_TYPE_MASK, method, seqid, method_end + _I32.size)
 
 
-def parse_message(data: bytes) -> Message | MalformedMessageError:
+def parse_message(data: bytes) -> MessageOrError:
     """Parse the payload of one frame; return the error where it is not a valid message."""
     try:
         head = parse_head(data)
