--- a/function_router/net/client_request.py
+++ b/function_router/net/client_request.py
@@ -7,7 +7,6 @@
 from collections.abc import Callable
 from typing import ClassVar
 
-import msgspec
 from msgspec import Struct
 
 
@@ -39,7 +38,7 @@
 """The one answer that a client gets."""
 
 
-class Invocation(msgspec.Struct, frozen=True):
+class Invocation(Struct, frozen=True):
     """What a client asks for: to have a function run.
 
     Attributes:
--- a/function_router/net/codecs/thrift_protocol.py
+++ b/function_router/net/codecs/thrift_protocol.py
@@ -4,7 +4,7 @@
 https://github.com/apache/thrift/blob/master/doc/specs/thrift-binary-protocol.md.
 """
 
-import msgspec
+from msgspec import Struct
 
 from function_router.errors import FunctionRouterError
 
@@ -77,7 +77,7 @@
     """A message that ends within its head."""
 
 
-class Handle(msgspec.Struct, frozen=True):
+class Handle(Struct, frozen=True):
     """A request to run a function, with its fields still unchecked."""
 
     seqid: int
@@ -85,7 +85,7 @@
     body: bytes
 
 
-class Withdraw(msgspec.Struct, frozen=True):
+class Withdraw(Struct, frozen=True):
     """The client no longer wants the answer to a request.
 
     Attributes:
@@ -95,7 +95,7 @@
     seqid: int
 
 
-class Status(msgspec.Struct, frozen=True):
+class Status(Struct, frozen=True):
     """Asks whether the router is ready."""
 
     seqid: int
--- a/function_router/net/pending_request.py
+++ b/function_router/net/pending_request.py
@@ -2,8 +2,7 @@
 
 import math
 
-import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from function_router.net.client_request import ClientRequest, FinalAnswer, Invocation
 from function_router.net.clock import monotonic_ms
@@ -34,8 +33,8 @@
     deadline_timer: Timer
     attempt_count: int = 0
     first_run_at_ms: float = math.inf
-    admitted_at_ms: float = msgspec.field(default_factory=monotonic_ms)
-    trace: list[str] = msgspec.field(default_factory=list)
+    admitted_at_ms: float = field(default_factory=monotonic_ms)
+    trace: list[str] = field(default_factory=list)
 
     @property
     def invocation(self) -> Invocation:
