--- a/function_router/decisions/scaling.py
+++ b/function_router/decisions/scaling.py
@@ -95,7 +95,7 @@
     def find_instances(self, function: Function, request: Request, now_ms: float) -> None:
         """Look for instances on behalf of a new request, unless one is known that can take it.
 
-        With many routers, each asks only its first preferred worker, which is mostly that of all others, too.
+        With many routers, each asks only its first preferred worker, which is mostly the same for all.
         """
         if self._capacity.many_routers:
             if self._placement.is_warm_near_share(function, now_ms):
@@ -127,19 +127,20 @@
     def has_free_slot(self, request: Request, worker: Worker, now_ms: float) -> bool:
         """Whether a worker has a free slot for a request; if that is in doubt, the worker is probed."""
         state = self._instances.slot_state(request, worker, now_ms)
-        if state is SlotState.DOUBTFUL:
-            function = request.function
-            is_usable = self._health.is_usable(worker, function.class_name, now_ms)
-            if is_usable and not function.pools[worker.id].pending_probes:
-                self._health.probe(function, worker, now_ms)
-        return state is SlotState.FREE
+        if state is not SlotState.DOUBTFUL:
+            return state is SlotState.FREE
+        function = request.function
+        is_usable = self._health.is_usable(worker, function.class_name, now_ms)
+        if is_usable and not function.pools[worker.id].pending_probes:
+            self._health.probe(function, worker, now_ms)
+        return False
 
     def must_wait_for_probe(self, function: Function, now_ms: float) -> bool:
-        """Whether requests wait as, with many routers, the preferred worker is to answer its probe first."""
+        """With many routers, whether requests wait for the preferred worker to answer its probe."""
         return self._capacity.many_routers and self._has_recent_probe(function, now_ms)
 
     def _has_recent_probe(self, function: Function, now_ms: float) -> bool:
-        """Whether a probe of a function is pending that was sent about a round trip ago at most."""
+        """Whether a probe of a function is pending, and not for longer than about a round trip."""
         if now_ms - function.last_probed_ms >= PROBE_WAIT_MS:
             return False
         return any(pool.pending_probes for pool in function.pools.values())
