--- a/tests/test_soak_shim.py
+++ b/tests/test_soak_shim.py
@@ -109,8 +109,12 @@
     "timestamp": """
 listener, client, accepted = connected()
 accepted.setsockopt(socket.SOL_SOCKET, 35, 1)  # SO_TIMESTAMPNS
-client.sendall(b"x")
-ancillary = accepted.recvmsg(10, 100)[1]
+ancillary = []
+end_s = time.monotonic() + 10.0
+# The kernel starts to stamp packets a moment after the first socket that asks for it.
+while not ancillary and time.monotonic() < end_s:
+    client.sendall(b"x")
+    ancillary = accepted.recvmsg(10, 100)[1]
 print(int.from_bytes(ancillary[0][2][:8], sys.byteorder))
 """,
 }
