--- a/function_router/net/connection.py
+++ b/function_router/net/connection.py
@@ -212,7 +212,8 @@
             self._connect_timer.cancel()
         self.last_received_ms = monotonic_ms()
         self.last_used_ms = self.last_received_ms
-        self._update_mask()
+        self._mask = READ
+        self.loop.modify(self._sock, READ, self._ready)
         self.handler.on_connected()
 
     def _read(self) -> None:
