--- a/function_router/net/attempts_in_flight.py
+++ b/function_router/net/attempts_in_flight.py
@@ -26,7 +26,7 @@
     Args:
         loop: Takes the events for the decision module.
         pool: Sends the attempts.
-        wire: Says what workers report.
+        transport: Says what workers report.
         classes: The request classes by name.
         requests: The pending requests.
         on_served: Called with a request's key and its answer once a worker has served it.
@@ -35,13 +35,13 @@
         by_key: The attempts by their request's key and their number, oldest first.
     """
 
-    __slots__ = ("_classes", "_loop", "_on_served", "_pool", "_requests", "_wire", "by_key")
+    __slots__ = ("_classes", "_loop", "_on_served", "_pool", "_requests", "_transport", "by_key")
 
     def __init__(
         self,
         loop: EventLoop,
         pool: WorkerPool,
-        wire: TransportSettings,
+        transport: TransportSettings,
         classes: Mapping[str, RequestClass],
         requests: PendingRequests,
         on_served: Callable[[str, Served], None],
@@ -49,7 +49,7 @@
         self.by_key: dict[tuple[str, int], Attempt] = {}
         self._loop = loop
         self._pool = pool
-        self._wire = wire
+        self._transport = transport
         self._classes = classes
         self._requests = requests
         self._on_served = on_served
@@ -104,7 +104,9 @@
     def _on_done(self, key: str, number: int, attempt: Attempt, result: Result) -> None:
         """Record and report the result of an attempt; the first one that was served answers the request."""
         del self.by_key[key, number]
-        report = AttemptReport.from_result(attempt, result, reports_in_flight=self._wire.reports_in_flight)
+        report = AttemptReport.from_result(
+            attempt, result, reports_in_flight=self._transport.reports_in_flight
+        )
         if request := self._requests.by_key.get(key):
             _record(request, attempt, report)
         if isinstance(result, Answer) and report.outcome is Outcome.OK:
--- a/function_router/net/client_connection.py
+++ b/function_router/net/client_connection.py
@@ -14,7 +14,7 @@
 # The client closed the connection or does not read its answers, so that nobody waits for one.
 CLOSED_BY_CLIENT = (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER, CloseReason.WRITE_BUFFER_FULL)
 
-# Clients close after 4 s without a request; a connection that is idle for this long would never be closed.
+# Clients close after 4 s without a request; one that is idle for this long would otherwise never be closed.
 IDLE_TIMEOUT_MS = 30_000.0
 # Bytes that can have been unread for longer arrived while the process was stalled. The messages of one read
 # may then differ in age; otherwise they count as equally old.
--- a/function_router/net/connect_retry.py
+++ b/function_router/net/connect_retry.py
@@ -38,7 +38,8 @@
             on_retry: Called when it is time to connect again.
 
         Returns:
-            False if there will be no retry: the worker is at fault, or connects have failed for too long.
+            False if there will be no retry: the cause isn't on this machine, or connects have failed for too
+            long.
         """
         if reason not in _FAILED_ON_THIS_MACHINE:
             return False
--- a/function_router/net/connection_set.py
+++ b/function_router/net/connection_set.py
@@ -40,9 +40,9 @@
     def choose(self, exchange_id: bytes) -> WorkerConnection | None:
         """The connection to use for an exchange with this id; None if none may be used.
 
-        An idle connection that the worker has closed is closed here, too, in place of being used: what is
-        written to it is lost, but as it might have run, a request that must not run twice could not be sent
-        again.
+        An idle connection that the worker has closed is closed here, too, in place of being used: what would
+        be written to it would be lost, but as it might have run, a request that must not run twice could not
+        be sent again.
         """
         while (chosen := self._least_used(exchange_id)) is not None:
             if chosen.exchanges or not chosen.has_reached_end_of_stream():
@@ -104,7 +104,7 @@
 
     def _open_unchecked(self, owner: WorkerConnectionOwner) -> None:
         resources = self._resources
-        connection = WorkerConnection(resources.loop, owner, resources.wire, resources.telemetry)
+        connection = WorkerConnection(resources.loop, owner, resources.transport, resources.telemetry)
         self._connections.append(connection)
         resources.budget.on_opened()
         resources.telemetry.count(CONNECTS)
--- a/function_router/net/event_loop.py
+++ b/function_router/net/event_loop.py
@@ -125,9 +125,9 @@
         """Wait until a socket is ready, and record the time of the poll.
 
         The time of a poll is taken before its system call, as SIGSTOP may stop the process while the call
-        returns. After a long wait that time would say little, so the sockets are then polled once more
-        without waiting. That also covers a wait that SIGCONT interrupted, which may return without having
-        examined the sockets.
+        returns. After a long wait that time would say little, so the sockets are then polled again without
+        waiting, as they are after a poll that found nothing. That also covers a wait that SIGCONT
+        interrupted, which may return without having examined the sockets.
         """
         polled_at_ms = monotonic_ms()
         ready = self._selector.select(wait_s)
@@ -144,7 +144,10 @@
         return ready
 
     def _start_turn(self) -> None:
-        """Read both clocks, and note by how much the wall clock was set since the last time."""
+        """Count the turn as of now: read both clocks, and note by how much the wall clock was set since.
+
+        A turn that polls a second time counts as of that poll from then on.
+        """
         previous_offset_ms = self.turn_started_unix_ms - self.turn_started_ms
         self.turn_started_ms = monotonic_ms()
         self.turn_started_unix_ms = unix_ms()
--- a/function_router/net/exchange_queue.py
+++ b/function_router/net/exchange_queue.py
@@ -7,7 +7,10 @@
 
 
 class ExchangeQueue:
-    """Exchanges that wait for a connection to one worker, oldest first; the `ExchangeHolder` of each."""
+    """Exchanges that wait for a connection to one worker, in the order in which they were queued.
+
+    It is the `ExchangeHolder` of each.
+    """
 
     __slots__ = ("_exchanges",)
 
--- a/function_router/net/idle_limit.py
+++ b/function_router/net/idle_limit.py
@@ -3,7 +3,7 @@
 # Of the workers' keep-alive time: the router closes an idle connection before the worker does, so that
 # nothing is sent on a connection that is being closed.
 KEEPALIVE_SHARE = 0.7
-# Below this limit hardly any connection would be used twice.
+# The limit never falls below this: hardly any connection would be used twice then.
 MIN_LIMIT_MS = 50.0
 # Of the idle time after which a connection turned out to be stale.
 STALE_IDLE_SHARE = 0.7
--- a/function_router/net/pool_resources.py
+++ b/function_router/net/pool_resources.py
@@ -14,14 +14,14 @@
 
     Attributes:
         loop: The event loop that serves the connections.
-        wire: Timeouts and limits of the transport.
+        transport: Timeouts and limits of the transport.
         telemetry: For what was sent, how connections closed and what workers did wrong.
         budget: The connections that there are and may be, to all workers together.
         idle_limit: After which idle time a connection is not used any more.
     """
 
     loop: EventLoop
-    wire: TransportSettings
+    transport: TransportSettings
     telemetry: Telemetry
     budget: ConnectionBudget
     idle_limit: IdleLimit
--- a/function_router/net/pooled_worker.py
+++ b/function_router/net/pooled_worker.py
@@ -131,7 +131,7 @@
         """Put an exchange on a connection, and open a spare one for the next if the settings want that."""
         is_shared = connection.has_attempt_in_flight
         connection.start(exchange)
-        if is_shared or self._resources.wire.may_preconnect:
+        if is_shared or self._resources.transport.may_preconnect:
             self.connections.open_spare_if_needed(self)
 
     def _dispatch_queued(self) -> None:
@@ -145,7 +145,7 @@
         """Open as many connections as the queued exchanges need, unless a retry will."""
         if self._connect_retry.is_scheduled:
             return
-        max_exchanges = self._resources.wire.max_exchanges_per_connection
+        max_exchanges = self._resources.transport.max_exchanges_per_connection
         while self.connections.connecting_count() * max_exchanges < len(self.queue):
             try:
                 self.connections.open(self)
--- a/function_router/net/request_table.py
+++ b/function_router/net/request_table.py
@@ -42,7 +42,7 @@
     Args:
         loop: The event loop, for deadline timers and the events for the decision module.
         pool: Sends attempts and start orders.
-        wire: Limits on pending requests and on what workers and clients are sent.
+        transport: Limits on pending requests and on what workers and clients are sent.
         classes: The request classes by name.
         revalidate_start_order: See `function_router.net.start_orders.RevalidateStartOrder`.
         telemetry: The log, the counters and the run-time checks.
@@ -55,19 +55,19 @@
         self,
         loop: EventLoop,
         pool: WorkerPool,
-        wire: TransportSettings,
+        transport: TransportSettings,
         classes: Mapping[str, RequestClass],
         revalidate_start_order: RevalidateStartOrder,
         telemetry: Telemetry,
     ) -> None:
         self._loop = loop
-        self._wire = wire
+        self._transport = transport
         self._classes = classes
         self._telemetry = telemetry
-        self._requests = PendingRequests(wire.max_pending_requests)
+        self._requests = PendingRequests(transport.max_pending_requests)
         self._recently_finished = RecentlyFinishedRequests()
         self._request_numbers = itertools.count(1)
-        self.attempts = AttemptsInFlight(loop, pool, wire, classes, self._requests, self._finish)
+        self.attempts = AttemptsInFlight(loop, pool, transport, classes, self._requests, self._finish)
         self._start_orders = StartOrderSender(
             loop, pool, revalidate_start_order, self._requests.add_trace_step
         )
@@ -84,7 +84,7 @@
     def admit(self, client_request: ClientRequest) -> str | Rejected:
         """Add a request and return its key, or a rejection to answer at once where the table is full."""
         if not self._requests.has_capacity_for(client_request.invocation):
-            return Rejected(min(FULL_TABLE_RETRY_AFTER_MS, self._wire.max_retry_after_ms))
+            return Rejected(min(FULL_TABLE_RETRY_AFTER_MS, self._transport.max_retry_after_ms))
         key = f"r{next(self._request_numbers)}"
         now_ms = self._loop.turn_started_ms
         timeout_ms = max(0.0, min(client_request.timeout_ms, self._shutdown_at_ms - now_ms))
--- a/function_router/net/sockets.py
+++ b/function_router/net/sockets.py
@@ -29,7 +29,7 @@
 
 
 def configure_socket(sock: socket.socket) -> None:
-    """Make a socket non-blocking and, where that succeeds, have it send small messages at once."""
+    """Make a socket non-blocking, and have it send small messages at once where the system allows that."""
     sock.setblocking(False)
     with contextlib.suppress(OSError):  # with Nagle's algorithm, small messages only wait for an ACK
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -62,7 +62,8 @@
 
     Attributes:
         connection: The TCP connection.
-        exchanges: The exchanges in flight by id, oldest first; it is the `ExchangeHolder` of each.
+        exchanges: The exchanges in flight by id, in the order in which they were put on it; it is the
+            `ExchangeHolder` of each.
         is_retired: Whether it gets no new exchange and is closed once it has none.
     """
 
@@ -82,14 +83,18 @@
     )
 
     def __init__(
-        self, loop: EventLoop, owner: WorkerConnectionOwner, wire: TransportSettings, telemetry: Telemetry
+        self,
+        loop: EventLoop,
+        owner: WorkerConnectionOwner,
+        transport: TransportSettings,
+        telemetry: Telemetry,
     ) -> None:
         """Begin to connect.
 
         Args:
             loop: The event loop that serves it.
             owner: The worker to connect to, at its present address.
-            wire: For the connect timeout and how many exchanges there may be on one connection.
+            transport: For the connect timeout and how many exchanges there may be on one connection.
             telemetry: For what the worker did wrong.
 
         Raises:
@@ -100,12 +105,12 @@
         self._loop = loop
         self._owner = owner
         self._telemetry = telemetry
-        self._max_exchanges = wire.max_exchanges_per_connection
+        self._max_exchanges = transport.max_exchanges_per_connection
         self._reader = frames.FrameReader()
         self._used_ids: dict[bytes, None] = {}  # ids that may not be used again here, oldest first
         self._unstarted: list[Exchange] = []  # of which nothing had been written at the last flush
         self._partial_frame_timer: Timer | None = None
-        connection = Connection.connect(loop, owner.address, self, wire.connect_timeout_ms)
+        connection = Connection.connect(loop, owner.address, self, transport.connect_timeout_ms)
         if isinstance(connection, CloseReason):
             raise ConnectError(owner, connection)
         self.connection = connection
@@ -185,7 +190,7 @@
         self._forbid_id(exchange.exchange_id)
 
     def take_all_exchanges(self) -> list[Exchange]:
-        """Take all exchanges off a closed connection, oldest first."""
+        """Take all exchanges off a closed connection, in the order in which they were put on it."""
         exchanges = list(self.exchanges.values())
         self.exchanges = {}
         return exchanges
--- a/function_router/net/worker_pool.py
+++ b/function_router/net/worker_pool.py
@@ -32,13 +32,18 @@
     """
 
     def __init__(
-        self, loop: EventLoop, wire: TransportSettings, max_connections: int, seed: int, telemetry: Telemetry
+        self,
+        loop: EventLoop,
+        transport: TransportSettings,
+        max_connections: int,
+        seed: int,
+        telemetry: Telemetry,
     ) -> None:
         """A pool without workers.
 
         Args:
             loop: The event loop that serves the connections.
-            wire: Timeouts and limits of the transport.
+            transport: Timeouts and limits of the transport.
             max_connections: To all workers together.
             seed: For the ids of start orders.
             telemetry: For what was sent, how connections closed and what workers did wrong.
@@ -46,10 +51,10 @@
         self.workers: dict[int, PooledWorker] = {}
         self._resources = PoolResources(
             loop=loop,
-            wire=wire,
+            transport=transport,
             telemetry=telemetry,
             budget=ConnectionBudget(max_connections, self._all_connections),
-            idle_limit=IdleLimit(wire.keepalive_ms),
+            idle_limit=IdleLimit(transport.keepalive_ms),
         )
         self._order_ids = itertools.count(random.Random(seed).getrandbits(FIRST_ORDER_ID_BITS))
 
@@ -107,7 +112,7 @@
         """Send a start order or a probe, which gets its id here."""
         self._resources.telemetry.count(START_ORDERS if order.instances else PROBES)
         order.exchange_id = next(self._order_ids).to_bytes(EXCHANGE_ID_BYTES, "big")
-        self._dispatch(order, self._resources.wire.start_order_timeout_ms)
+        self._dispatch(order, self._resources.transport.start_order_timeout_ms)
 
     def cancel(self, exchange: Exchange) -> None:
         """Cancel an exchange unless it is done; a worker that may have received an attempt is notified."""
--- a/tests/net/test_worker_pool.py
+++ b/tests/net/test_worker_pool.py
@@ -130,8 +130,8 @@
     pool.ensure_instances(start_order(worker_id, [], instances=0))
     harness.run_until(lambda: worker.frames, "a connection is established")
     resources = pool._resources
-    resources.wire = msgspec.structs.replace(
-        resources.wire, start_order_timeout_ms=500.0, connect_timeout_ms=60.0
+    resources.transport = msgspec.structs.replace(
+        resources.transport, start_order_timeout_ms=500.0, connect_timeout_ms=60.0
     )
     pool.update_endpoint(UNLISTED_WORKER_ID, unreachable_address(), WorkerState.READY, 0.0)
 
