--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -19,6 +19,18 @@
     return start_router(FakeWorker(instances=None))
 
 
+@pytest.fixture
+def pool(harness):
+    """The worker pool of the router."""
+    return harness.pool
+
+
+@pytest.fixture
+def results():
+    """The results of the exchanges that the test sends."""
+    return []
+
+
 @pytest.fixture
 def log_lines():
     """What the event loop has logged."""
--- a/tests/net/test_connection_set.py
+++ b/tests/net/test_connection_set.py
@@ -26,12 +26,6 @@
     return list(harness.pool.workers[worker.worker_id].connections)
 
 
-@pytest.fixture
-def results():
-    """The results of the exchanges that the test sends."""
-    return []
-
-
 # --- choosing a connection
 
 
--- a/tests/net/test_pooled_worker.py
+++ b/tests/net/test_pooled_worker.py
@@ -22,17 +22,6 @@
     return worker
 
 
-@pytest.fixture
-def pool(harness):
-    return harness.pool
-
-
-@pytest.fixture
-def results():
-    """The results of the exchanges that the test sends."""
-    return []
-
-
 @pytest.fixture
 def unlisted_worker():
     """A worker that the router's endpoint list does not name."""
--- a/tests/net/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -29,17 +29,6 @@
     return worker
 
 
-@pytest.fixture
-def pool(harness):
-    return harness.pool
-
-
-@pytest.fixture
-def results():
-    """The results of the exchanges that the test sends."""
-    return []
-
-
 # --- frames that are invalid, incomplete or duplicate
 
 
--- a/tests/net/test_worker_pool.py
+++ b/tests/net/test_worker_pool.py
@@ -21,17 +21,6 @@
     return worker
 
 
-@pytest.fixture
-def pool(harness):
-    return harness.pool
-
-
-@pytest.fixture
-def results():
-    """The results of the exchanges that the test sends."""
-    return []
-
-
 # --- workers of the endpoint list
 
 
