--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -89,13 +89,10 @@
         transport: TransportSettings,
         telemetry: Telemetry,
     ) -> None:
-        """Begin to connect.
+        """Begin to connect to `owner`, a worker, at its present address.
 
-        Args:
-            loop: The event loop that serves it.
-            owner: The worker to connect to, at its present address.
-            transport: For the connect timeout and how many exchanges there may be on one connection.
-            telemetry: For what the worker did wrong.
+        `transport` has the connect timeout and the limit of exchanges on one connection; `telemetry` logs
+        what the worker did wrong.
 
         Raises:
             ConnectError: Connecting failed at once; `owner` is not notified then.
