--- a/function_router/decisions/scaling.py
+++ b/function_router/decisions/scaling.py
@@ -93,7 +93,7 @@
         return count
 
     def find_instances(self, function: Function, request: Request, now_ms: float) -> None:
-        """Look for instances on behalf of a new request, unless one is known that can take it.
+        """Find instances for a new request, unless one is known that can take it.
 
         With many routers, each asks only its first preferred worker, which is mostly the same for all.
         """
