--- a/tests/decisions/test_layers.py
+++ b/tests/decisions/test_layers.py
@@ -1,14 +1,13 @@
 """The layers of the decisions, as the table in the package's docstring has them."""
 
-import ast
 import re
-from pathlib import Path
 
 import pytest
+from helpers.repository import PACKAGE, imported_modules
 
 from function_router import decisions
 
-FOLDER = Path(decisions.__file__).parent
+FOLDER = PACKAGE / "decisions"
 PREFIX = "function_router.decisions"
 SHARED = ["settings", "events", "actions", "types"]  # which every part may use
 
@@ -19,14 +18,7 @@
 
 def imported_parts(name):
     """The modules of the decisions that a module of them imports, at the top or elsewhere."""
-    modules = set()
-    for node in ast.walk(ast.parse((FOLDER / f"{name}.py").read_text())):
-        if isinstance(node, ast.Import):
-            modules |= {alias.name for alias in node.names}
-        elif isinstance(node, ast.ImportFrom) and node.module == PREFIX:
-            modules |= {f"{PREFIX}.{alias.name}" for alias in node.names}
-        elif isinstance(node, ast.ImportFrom):
-            modules.add(node.module)
+    modules = imported_modules(FOLDER / f"{name}.py")
     return {module.removeprefix(PREFIX + ".") for module in modules if module.startswith(PREFIX)}
 
 
