--- a/function_router/decisions/actions.py
+++ b/function_router/decisions/actions.py
@@ -14,7 +14,7 @@
 
 
 class CancelAttempt(Struct, frozen=True):
-    """Notify the worker of an attempt that nobody waits for its answer any more."""
+    """Tell a worker that nobody waits for the answer to an attempt any more."""
 
     request_id: str
     attempt_number: int
--- a/function_router/decisions/admission.py
+++ b/function_router/decisions/admission.py
@@ -49,8 +49,8 @@
         self._requests = requests
         self._buckets: dict[str, TokenBucket] = {}  # by tenant
 
-    def is_over_quota(self, tenant: str, now_ms: float) -> bool:
-        """Count a request of a tenant; True if it exceeds this router's share of the tenant's quota."""
+    def charge_quota(self, tenant: str, now_ms: float) -> bool:
+        """Count a request against its tenant's quota; whether it exceeds this router's share of it."""
         quota_rps = self._quotas_rps.get(tenant)
         if quota_rps is None:
             return False
@@ -72,7 +72,7 @@
         return left_ms < min(runs_ms, objective_ms * FINAL_OBJECTIVE_FRACTION)
 
     def is_due_on_arrival(self, request: Request, now_ms: float) -> bool:
-        """Whether a new request can't wait for the timer, as with a client's last retry."""
+        """Whether a new request is answered unsent, as its deadline is before the next check on the timer."""
         return request.deadline_ms - now_ms <= TIMER_INTERVAL_MS + ANSWER_LEAD_MS
 
     def is_due_on_timer(self, request: Request, now_ms: float) -> bool:
--- a/function_router/decisions/answers.py
+++ b/function_router/decisions/answers.py
@@ -30,8 +30,8 @@
         if not self._retry_policy.is_client_retry_safe(request):
             self._outbox.add(FailRequest(request.id))
             return
-        is_retry_hopeful = bool(request.attempts) and not request.over_quota
-        retry_after_ms = 0.0 if is_retry_hopeful else self._max_retry_after_ms
+        may_retry_at_once = bool(request.attempts) and not request.over_quota
+        retry_after_ms = 0.0 if may_retry_at_once else self._max_retry_after_ms
         self._outbox.add(RejectRequest(request.id, retry_after_ms))
 
     def close(self, request: Request) -> None:
--- a/function_router/decisions/arrivals.py
+++ b/function_router/decisions/arrivals.py
@@ -16,13 +16,16 @@
 
 
 class Arrivals:
-    """Recent requests by the client's own id, so that one that the client retries counts once."""
+    """Arrival rates.
+
+    The recent one counts a request that its client retries once, and a cancelled request not at all.
+    """
 
     def __init__(self, settings: Settings) -> None:
         window_ms = settings.start_order_window_ms or ARRIVAL_WINDOW_MS
         self._window_ms = max(MAX_START_ORDER_DELAY_MS, window_ms - MAX_START_ORDER_DELAY_MS)
         self.recent: OrderedDict[str, float] = OrderedDict()  # when each arrived, by client's id
-        self.count = 0  # requests since the start
+        self.count = 0  # requests since the start, with clients' retries and cancelled ones
         self.observed_since_ms = math.inf  # time of the first event of any kind
 
     def record(self, event: RequestArrived, now_ms: float) -> None:
--- a/function_router/decisions/capacity.py
+++ b/function_router/decisions/capacity.py
@@ -24,8 +24,8 @@
 
 # A worker's limit of own requests in flight is never below this. With many routers, most of the computed
 # limits are below one.
-MIN_IN_FLIGHT = 1.0
-MIN_IN_FLIGHT_OF_MANY = 2.0
+MIN_IN_FLIGHT_LIMIT = 1.0
+MIN_IN_FLIGHT_LIMIT_MANY_ROUTERS = 2.0
 
 # The final fraction of the latency objective. The limit on attempts in flight is what the workers answer
 # within it, and a queued request may be expected to miss its objective only once it has entered it.
@@ -81,11 +81,11 @@
     def _limit_workers(self, now_ms: float) -> float:
         """Set the limit of each worker; returns how many requests all of them can work on at once."""
         router_count = self.router_count
-        min_in_flight = MIN_IN_FLIGHT_OF_MANY if self.many_routers else MIN_IN_FLIGHT
+        min_in_flight = MIN_IN_FLIGHT_LIMIT_MANY_ROUTERS if self.many_routers else MIN_IN_FLIGHT_LIMIT
         mean_in_flight = self._quota_per_ms * self._durations.unloaded_run_ms
         total = 0.0
         for worker in self._workers.ready:
-            mean = mean_in_flight * self.size(worker, now_ms) / self._workers.largest_size
+            mean = mean_in_flight * self.size(worker, now_ms) / self._workers.max_total_size
             total += mean + NOISE_ALLOWANCE * math.sqrt(mean)
             own_mean = mean / router_count
             worker.max_in_flight = max(min_in_flight, own_mean + NOISE_ALLOWANCE * math.sqrt(own_mean))
@@ -96,5 +96,5 @@
         workers = self._workers
         responsive = [worker for worker in workers.ready if worker.unresponsive_since_ms is None]
         responsive_size = sum(self.size(worker, now_ms) for worker in responsive)
-        rate = responsive_size / workers.largest_size * self._quota_per_ms
+        rate = responsive_size / workers.max_total_size * self._quota_per_ms
         return rate * self.latency_objective_ms * FINAL_OBJECTIVE_FRACTION / self.router_count
--- a/function_router/decisions/circuit_breakers.py
+++ b/function_router/decisions/circuit_breakers.py
@@ -24,7 +24,7 @@
     def is_open(self, worker: Worker, class_name: str, now_ms: float) -> bool:
         """Whether requests of a class are kept from a worker.
 
-        They aren't if the breakers of most workers are open, like beyond Envoy's panic threshold.
+        They aren't if the breakers of most workers are open, as in Envoy's panic mode.
         """
         breaker = worker.breakers.get(class_name)
         if breaker is None or not breaker.is_open(now_ms):
--- a/function_router/decisions/dispatch.py
+++ b/function_router/decisions/dispatch.py
@@ -51,7 +51,7 @@
         self._waiting.pop(function.name, None)
         if function.queue:
             self._waiting[function.name] = function
-            self._scaling.race(function, now_ms)
+            self._scaling.order_starts(function, now_ms)
 
     def dispatch_all(self, now_ms: float) -> None:
         """Dispatch all functions with queued requests, the most urgent request first."""
@@ -93,7 +93,7 @@
             worker = self._find_worker(function, request, now_ms)
             if worker is not None:
                 self._send(request, worker, now_ms)
-            elif request.first_run() is None:
+            elif request.first_possible_run() is None:
                 break
 
     def _find_worker(self, function: Function, request: Request, now_ms: float) -> Worker | None:
@@ -107,7 +107,7 @@
             return None
         beyond_bound = []
         for worker in self._placement.candidates(function, request, now_ms):
-            if not self._scaling.has_free_slot(request, worker, now_ms):
+            if not self._scaling.has_free_slot_or_probe(request, worker, now_ms):
                 continue
             if not self._may_send_to(request, worker, limit_fraction, now_ms):
                 continue
@@ -127,7 +127,7 @@
     def _send(self, request: Request, worker: Worker, now_ms: float) -> None:
         """Send a request to a worker. This is the only place that does."""
         function = request.function
-        preferred = function.hash_order[: function.fanout]
+        first_in_hash_order = function.hash_order[: function.fanout]
         attempt = Attempt(
             request.id,
             worker,
@@ -135,7 +135,7 @@
             request.request_class.name,
             now_ms,
             is_unloaded=worker.in_flight < LOADED_AT_IN_FLIGHT,
-            candidate_count=max(1, sum(other.id in function.pools for other in preferred)),
+            candidate_count=max(1, sum(other.id in function.pools for other in first_in_hash_order)),
         )
         pool = function.pool_at(worker)
         self._requests.add_attempt(request, attempt)
@@ -145,6 +145,7 @@
         self._placement.record_send(worker, now_ms)
         self._health.expect_reply(worker, now_ms)
         self._health.breakers.record_send(worker, attempt.class_name, now_ms)
+        # The first attempt beyond the slots that there were before uses the speculative instance: this is Ti.
         if pool.unused_since_ms is not None and pool.in_flight > pool.slots_before:
             function.idle_before_use_ms = now_ms - pool.unused_since_ms
             pool.unused_since_ms = None
--- a/function_router/decisions/durations.py
+++ b/function_router/decisions/durations.py
@@ -11,6 +11,9 @@
 # Weight of one run in the moving average of runs at unloaded workers, which covers about 50 of them.
 UNLOADED_RUN_GAIN = 0.02
 
+# Until the first run, the latency objective is taken to be this many runs at an unloaded worker.
+OBJECTIVE_IN_RUNS = 5.0
+
 
 class Durations:
     """Medians of run and start times: CIDRE's Te and Tp."""
@@ -18,7 +21,7 @@
     def __init__(self, latency_objective_ms: float) -> None:
         self.run_times = new_median()  # of all functions
         # Moving average of run times at unloaded workers; a guess until the first run.
-        self.unloaded_run_ms = latency_objective_ms / 5
+        self.unloaded_run_ms = latency_objective_ms / OBJECTIVE_IN_RUNS
 
     def record_run(self, function: Function, run_ms: float, now_ms: float, *, is_unloaded: bool) -> None:
         """Add a run at a warm instance, `is_unloaded` if its worker had little else to do."""
--- a/function_router/decisions/events.py
+++ b/function_router/decisions/events.py
@@ -21,7 +21,7 @@
 
 
 class EndpointsChanged(Struct, frozen=True):
-    """The endpoint list was notified, or what has changed in it."""
+    """The endpoint list was received: all of it, or only what has changed."""
 
     endpoints: list[Endpoint]
     is_complete: bool  # False: only the endpoints that have changed
@@ -58,7 +58,7 @@
     worker_id: int
     outcome: Outcome
     duration_ms: float
-    is_answered: bool  # the worker's answer was passed on as the request's final one
+    is_answered: bool  # the request has its final answer, or needs none: from this attempt or otherwise
     start_kind: StartKind = StartKind.UNKNOWN
     in_flight: int | None = None  # requests of the function at the worker when this one arrived there
     load_report: dict[str, float] | None = None
--- a/function_router/decisions/feedback.py
+++ b/function_router/decisions/feedback.py
@@ -40,7 +40,7 @@
         elif outcome is Outcome.NOT_LOADED or event.start_kind is StartKind.START_FAILED:
             attempt.function.pools[attempt.worker.id].count = 0
         elif outcome is Outcome.ERROR and attempt.function.run_times:
-            # A function that has never been served may itself be the cause of the error.
+            # A function without a recent warm run may itself be the cause of the error.
             self._health.breakers.record_failure(attempt.worker, attempt.class_name, now_ms)
         elif outcome is Outcome.QUEUE_FULL:
             self._record_full_queue(attempt, now_ms)
--- a/function_router/decisions/health.py
+++ b/function_router/decisions/health.py
@@ -1,8 +1,8 @@
 """Health of workers: pending replies, pings, and which workers are unresponsive or slow.
 
 A worker that owes a reply and stays silent is pinged, and is unresponsive if it doesn't answer the ping
-either. The protocol has no ping of its own: a probe of the function that was last used at the worker serves
-as one.
+either. One that can't be connected to is unresponsive at once. The protocol has no ping of its own: a probe
+of the function that was last used at the worker serves as one.
 """
 
 import math
@@ -31,7 +31,8 @@
 # A worker that doesn't answer a ping for this long is unresponsive.
 PING_TIMEOUT_MS = 80.0
 
-# Interval of pings to an unresponsive worker. After an answered probe, a worker isn't pinged for as long.
+# Interval of pings to an unresponsive worker. A worker that answers a probe or a start order while it
+# owes more replies is not pinged before this time has passed either.
 PING_INTERVAL_MS = 1_000.0
 
 # Weight of one run in the estimated slowdown of its worker.
@@ -64,15 +65,15 @@
     def is_usable(self, worker: Worker, class_name: str, now_ms: float) -> bool:
         """Whether a worker may get new requests of a class.
 
-        If most workers are unresponsive, all count as responsive, like beyond Envoy's panic threshold.
+        If most workers are unresponsive, all count as responsive, as in Envoy's panic mode.
         """
         if worker.endpoint.state != WorkerState.READY:
             return False
-        if worker.unresponsive_since_ms is not None and not self._are_most_unresponsive():
+        if worker.unresponsive_since_ms is not None and not self._most_are_unresponsive():
             return False
         return not (worker.breakers and self.breakers.is_open(worker, class_name, now_ms))
 
-    def _are_most_unresponsive(self) -> bool:
+    def _most_are_unresponsive(self) -> bool:
         return self._unresponsive_count * 2 > len(self._workers.ready)
 
     def is_silent(self, worker: Worker, runs: float, now_ms: float) -> bool:
--- a/function_router/decisions/instances.py
+++ b/function_router/decisions/instances.py
@@ -9,13 +9,16 @@
 
 from function_router.decisions.capacity import Capacity
 from function_router.decisions.events import AttemptEnded, InstancesReported
-from function_router.decisions.records import ARRIVAL_DECAY_MS, Attempt, InstancePool, Request, Worker
+from function_router.decisions.records import Attempt, InstancePool, Request, Worker
 from function_router.decisions.settings import Settings
 from function_router.decisions.types import Outcome, StartKind
 
 # Unless there are many routers, a report or an observation older than this is verified by a probe.
 FRESH_MS = 1_000.0
 
+# With many routers, an idle instance is believed to exist for this long after it was last seen.
+SHARED_INSTANCE_TTL_MS = 30_000.0
+
 # Answers to requests that found no free slot and waited for a cold start.
 COLD_START_KINDS = (StartKind.COLD_START, StartKind.JOINED_COLD_START)
 
@@ -44,7 +47,7 @@
         if pool.last_seen_ms <= (worker.started_ms or -math.inf):
             return 0
         if pool.in_flight == 0:
-            ttl_ms = ARRIVAL_DECAY_MS if self._capacity.many_routers else self._keep_alive_ms
+            ttl_ms = SHARED_INSTANCE_TTL_MS if self._capacity.many_routers else self._keep_alive_ms
             if now_ms - pool.last_seen_ms > ttl_ms:
                 return 0
         return pool.count
--- a/function_router/decisions/placement.py
+++ b/function_router/decisions/placement.py
@@ -9,7 +9,7 @@
 from itertools import islice
 
 from function_router.decisions.arrivals import Arrivals
-from function_router.decisions.capacity import REFRESH_INTERVAL_MS, Capacity
+from function_router.decisions.capacity import Capacity
 from function_router.decisions.durations import Durations
 from function_router.decisions.health import Health
 from function_router.decisions.instances import Instances
@@ -24,8 +24,8 @@
 LOAD_BOUND_FACTOR = 1.5
 MIN_LOAD_BOUND = 2.0
 
-# A worker has headroom up to this multiple of its fair share of the own sends in the statistics window, but
-# never with fewer sends than the minimum.
+# A worker is past its share of the own sends in the statistics window if it has had more than this multiple
+# of its fair share. Up to the minimum number of sends, it never is.
 SEND_SHARE_FACTOR = 1.3
 MIN_SEND_SHARE = 0.5
 
@@ -35,9 +35,12 @@
 
 # The fan-out is chosen so that, on average, each preferred worker has requests for at most this many
 # instances, and for at most this fraction of its capacity.
-FANOUT_SLOT_FRACTION = 1.2
+FANOUT_INSTANCES_PER_WORKER = 1.2
 FANOUT_CAPACITY_FRACTION = 0.6
 
+# Arrival rates are averaged over this long at least, so that the first requests don't look like a flood.
+MIN_RATE_INTERVAL_MS = 1_000.0
+
 
 class Placement:
     """Orders the workers for each function, and knows which of them can take more."""
@@ -152,10 +155,10 @@
         """
         function.estimated_in_flight *= function.arrivals.decay(now_ms)
         since_ms = self._arrivals.observed_since_ms
-        own_rate = function.arrivals.rate(now_ms, since_ms, REFRESH_INTERVAL_MS)
+        own_rate = function.arrivals.rate(now_ms, since_ms, MIN_RATE_INTERVAL_MS)
         rate = own_rate * self._capacity.router_count
         demand = max(rate * self._durations.median_run_ms(function, now_ms), function.estimated_in_flight)
-        max_by_slots = FANOUT_SLOT_FRACTION * function.concurrency
+        max_by_slots = FANOUT_INSTANCES_PER_WORKER * function.concurrency
         max_by_capacity = FANOUT_CAPACITY_FRACTION * self._capacity.worker_capacity
         needed = max(1, math.ceil(demand / min(max_by_slots, max_by_capacity)))
         function.fanout = min(needed, max(1, len(self._workers.ready)))
--- a/function_router/decisions/records.py
+++ b/function_router/decisions/records.py
@@ -109,10 +109,10 @@
     class_name: str
     sent_ms: float
     is_unloaded: bool  # its worker had little in flight when it was sent
-    candidate_count: int  # preferred workers among which it was chosen
+    candidate_count: int  # workers with a pool among the first `fanout` in hash order, at least 1
     in_flight: bool = True
     is_lost: bool = False  # presumed lost, and counted as a failure of its worker
-    may_have_run: bool = True
+    may_have_run: bool = True  # until its outcome proves that it did not
 
 
 class Request(Struct, eq=False):
@@ -133,7 +133,7 @@
         """Whether an attempt has not ended yet."""
         return any(attempt.in_flight for attempt in self.attempts)
 
-    def first_run(self) -> Attempt | None:
+    def first_possible_run(self) -> Attempt | None:
         """The first attempt that may have run, if there is one."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
--- a/function_router/decisions/retries.py
+++ b/function_router/decisions/retries.py
@@ -1,7 +1,6 @@
 """Retries and hedges: sending a request again, or answering it if its class forbids that."""
 
 from function_router.decisions.answers import Answers
-from function_router.decisions.capacity import FINAL_OBJECTIVE_FRACTION
 from function_router.decisions.dispatch import Dispatcher
 from function_router.decisions.fleet import Fleet
 from function_router.decisions.health import LOST_RUNS, OVERDUE_RUNS
@@ -13,6 +12,9 @@
 HEDGES_PER_REQUEST = 0.1
 MAX_HEDGE_BUDGET = 3.0
 
+# An attempt is overdue after this fraction of its latency objective at the latest.
+OVERDUE_OBJECTIVE_FRACTION = 0.5
+
 
 class Retries:
     """Sends requests again whose attempts have failed, are overdue or are presumed lost."""
@@ -67,7 +69,7 @@
         """Queue a request for another attempt if its last one is overdue and the hedge budget allows it."""
         runs_ms = OVERDUE_RUNS * self._durations.median_run_ms(request.function, now_ms)
         objective_ms = request.request_class.latency_objective_ms
-        limit_ms = min(runs_ms, objective_ms * FINAL_OBJECTIVE_FRACTION)
+        limit_ms = min(runs_ms, objective_ms * OVERDUE_OBJECTIVE_FRACTION)
         attempt = request.attempts[-1]
         is_overdue = attempt.in_flight and now_ms - attempt.sent_ms > limit_ms
         if not is_overdue or self._hedge_budget < 1:
--- a/function_router/decisions/retry_policy.py
+++ b/function_router/decisions/retry_policy.py
@@ -22,7 +22,7 @@
             return False
         if not self._can_hedge and request.has_attempt_in_flight():
             return False
-        first = request.first_run()
+        first = request.first_possible_run()
         if first is None:
             return True
         request_class = request.request_class
@@ -39,7 +39,7 @@
         """
         if any(attempt.worker.id == worker.id and attempt.may_have_run for attempt in request.attempts):
             return False
-        first = request.first_run()
+        first = request.first_possible_run()
         request_class = request.request_class
         if first is None or request_class.retry_safety is RetrySafety.IDEMPOTENT:
             return True
@@ -52,7 +52,7 @@
     def is_client_retry_safe(self, request: Request) -> bool:
         """Whether it is harmless if the client sends the request again, whichever worker that reaches."""
         request_class = request.request_class
-        if request.first_run() is None or request_class.retry_safety is RetrySafety.IDEMPOTENT:
+        if request.first_possible_run() is None or request_class.retry_safety is RetrySafety.IDEMPOTENT:
             return True
         has_key = request_class.retry_safety is RetrySafety.IDEMPOTENCY_KEY
         return has_key and request_class.deduplication_scope is DeduplicationScope.ALL
--- a/function_router/decisions/router.py
+++ b/function_router/decisions/router.py
@@ -138,7 +138,7 @@
             self.settings.classes.get(event.class_name) or RequestClass(event.class_name),
             arrived_ms=now_ms,
             deadline_ms=now_ms + event.timeout_ms,
-            over_quota=self._admission.is_over_quota(event.tenant, now_ms),
+            over_quota=self._admission.charge_quota(event.tenant, now_ms),
             queued_ms=now_ms,
             random_bits=random_bits,
             concurrency=function.concurrency,
--- a/function_router/decisions/scaling.py
+++ b/function_router/decisions/scaling.py
@@ -9,7 +9,6 @@
 import math
 
 from function_router.decisions.admission import Admission
-from function_router.decisions.arrivals import ARRIVAL_WINDOW_MS
 from function_router.decisions.events import InstancesReported
 from function_router.decisions.fleet import Fleet
 from function_router.decisions.instances import SlotState
@@ -23,7 +22,7 @@
 PROBE_WAIT_MS = 12.0
 
 # A new request doesn't cause another probe of a worker for this long.
-PROBE_TTL_MS = ARRIVAL_WINDOW_MS
+PROBE_TTL_MS = 5_000.0
 
 # For a function without a known instance, this many workers are probed at once.
 PROBE_FANOUT = 4
@@ -49,7 +48,7 @@
         self._speculation = speculation
         self._start_orders = start_orders
 
-    def race(self, function: Function, now_ms: float) -> None:
+    def order_starts(self, function: Function, now_ms: float) -> None:
         """Order cold starts for the queued requests, which race the busy warm instances if there are any.
 
         One start serves as many requests as an instance has slots. Pending ones count as well.
@@ -124,7 +123,7 @@
         elif may_start and self._start_orders.can_start_at(function, worker, now_ms, is_speculative=is_warm):
             self._start_orders.order(function, worker, now_ms, is_speculative=is_warm)
 
-    def has_free_slot(self, request: Request, worker: Worker, now_ms: float) -> bool:
+    def has_free_slot_or_probe(self, request: Request, worker: Worker, now_ms: float) -> bool:
         """Whether a worker has a free slot for a request; if that is in doubt, the worker is probed."""
         state = self._instances.slot_state(request, worker, now_ms)
         if state is not SlotState.DOUBTFUL:
@@ -136,7 +135,7 @@
         return False
 
     def must_wait_for_probe(self, function: Function, now_ms: float) -> bool:
-        """With many routers, whether requests wait for the preferred worker to answer its probe."""
+        """Whether requests wait for a pending probe of the function at any worker, with many routers only."""
         return self._capacity.many_routers and self._has_recent_probe(function, now_ms)
 
     def _has_recent_probe(self, function: Function, now_ms: float) -> bool:
@@ -148,7 +147,7 @@
     def record_probe_answer(
         self, function: Function, worker: Worker, event: InstancesReported, now_ms: float
     ) -> None:
-        """Record the end of a probe; with many routers, have a preferred worker start a missing instance."""
+        """Record the end of a probe; with many routers, the first workers start missing instances."""
         pool = function.pool_at(worker)
         pool.pending_probes = max(0, pool.pending_probes - 1)
         if not self._capacity.many_routers or event.outcome is not Outcome.OK:
--- a/function_router/decisions/settings.py
+++ b/function_router/decisions/settings.py
@@ -1,7 +1,7 @@
 """The settings of a router's decisions, which are fixed at its start. Nothing is decided here.
 
 Some are read from the configuration, but no decision uses them: `priority_weight`, `late_value_share`, `zone`
-and `starts_on_request`.
+and `starts_on_request`. `RequestClass.timeout_ms` is used by the network only.
 
 Times are milliseconds. `function_router.config` maps them to the keys of the configuration.
 """
--- a/function_router/decisions/slow_start.py
+++ b/function_router/decisions/slow_start.py
@@ -57,7 +57,7 @@
         """
         usual_rate = max(self._own_quota_per_ms, self._arrivals.mean_rate(now_ms))
         rate = min(self._arrivals.recent_rate(now_ms), usual_rate)
-        return rate * worker.machine_size / self._workers.largest_size
+        return rate * worker.machine_size / self._workers.max_total_size
 
     def _rounding_offset(self, worker: Worker) -> float:
         """A pseudorandom number from 0 to 1, fixed for this router and worker, to round the budget by.
--- a/function_router/decisions/speculation.py
+++ b/function_router/decisions/speculation.py
@@ -8,7 +8,7 @@
 
 
 class Speculation:
-    """Turns the switch of each function, which is on at first.
+    """Toggles the switch of each function, which is on at first.
 
     It goes off once a speculative instance idles for longer than a run takes (Ti > Te), as the request
     could have waited for a busy one. It goes on again once requests wait for longer than a start takes (Td
@@ -19,15 +19,15 @@
         self._durations = durations
 
     def update(self, function: Function, now_ms: float) -> bool:
-        """Turn the switch if it is time to; returns whether it is on now."""
+        """Toggle the switch if it is due; returns whether it is on now."""
         if function.speculates:
             idle_ms = self._idle_before_use_ms(function, now_ms)
-            is_turned = idle_ms > self._durations.median_run_ms(function, now_ms)
+            should_toggle = idle_ms > self._durations.median_run_ms(function, now_ms)
         else:
             wait_ms = self._queue_wait_ms(function, now_ms)
-            is_turned = wait_ms > self._durations.median_start_ms(function, now_ms)
-        if is_turned:
-            self._turn(function)
+            should_toggle = wait_ms > self._durations.median_start_ms(function, now_ms)
+        if should_toggle:
+            self._toggle(function)
         return function.speculates
 
     def _idle_before_use_ms(self, function: Function, now_ms: float) -> float:
@@ -43,8 +43,8 @@
         oldest_ms = min((request.queued_ms for request in function.queue), default=now_ms)
         return max(now_ms - oldest_ms, function.queue_waits.median(now_ms) or 0.0)
 
-    def _turn(self, function: Function) -> None:
-        """Turn the switch, and forget the times by which it was turned."""
+    def _toggle(self, function: Function) -> None:
+        """Toggle the switch, and forget the times that led to it."""
         function.speculates = not function.speculates
         function.idle_before_use_ms = 0.0
         function.queue_waits.clear()
--- a/function_router/decisions/start_order_limits.py
+++ b/function_router/decisions/start_order_limits.py
@@ -39,6 +39,7 @@
         """Whether one more start order, sent now, would exceed the rate limit."""
         settings = self._settings
         window_ms = settings.start_order_window_ms
+        # An order counts from its decision, but may be sent later by the delay: it is kept for longer by it.
         self.sent.forget_before(now_ms - window_ms - settings.tick_ms - MAX_START_ORDER_DELAY_MS)
         self._arrivals.drop_old(now_ms)
         requests = len(self._arrivals.recent)
--- a/function_router/decisions/start_orders.py
+++ b/function_router/decisions/start_orders.py
@@ -15,7 +15,7 @@
 FAILED_START_BLOCK_MS = 1_000.0
 
 # A start that takes this many times the usual lowers the limit on pending start orders.
-SLOW_START_ORDER_FACTOR = 2.5
+LONG_START_FACTOR = 2.5
 
 
 class StartOrders:
@@ -105,5 +105,5 @@
         else:
             pool.blocked_until_ms = now_ms + FAILED_START_BLOCK_MS
         if outcome in (Outcome.OK, Outcome.ERROR):
-            is_timely = outcome is Outcome.OK and start_ms < SLOW_START_ORDER_FACTOR * usual_ms
+            is_timely = outcome is Outcome.OK and start_ms < LONG_START_FACTOR * usual_ms
             self._limits.pending_limit.record(success=is_timely)
--- a/function_router/decisions/workers.py
+++ b/function_router/decisions/workers.py
@@ -25,7 +25,7 @@
         self.by_id: dict[int, Worker] = {}
         self.ready: list[Worker] = []
         self.ready_sizes: dict[int, float] = {}  # by id; replaced by a new dict when anything changes
-        self.largest_size = MIN_MACHINE_SIZE  # greatest total size that the ready workers have had
+        self.max_total_size = MIN_MACHINE_SIZE  # greatest total size that the ready workers have had
 
     def update(self, event: EndpointsChanged) -> None:
         """Apply a complete endpoint list, or the changes in it."""
@@ -37,7 +37,7 @@
         sizes = {worker.id: worker.machine_size for worker in self.ready}
         if sizes != self.ready_sizes:
             self.ready_sizes = sizes
-        self.largest_size = max(self.largest_size, sum(worker.machine_size for worker in self.ready))
+        self.max_total_size = max(self.max_total_size, sum(worker.machine_size for worker in self.ready))
 
     def _mark_missing_as_removed(self, endpoints: list[Endpoint]) -> None:
         """Mark the workers that a complete list no longer names."""
--- a/function_router/limits.py
+++ b/function_router/limits.py
@@ -48,8 +48,8 @@
 class CircuitBreaker:
     """Opens after some failures; a success takes back a fraction of them.
 
-    Once its time is over, requests pass as trials. Each trial doubles the time for which it is open again,
-    unless the trial succeeds and takes back enough of the failures.
+    Once its time is over it is half-open: one request passes as a trial, and the breaker is open again
+    at once for twice as long. It closes when successes have taken back enough of the failures.
     """
 
     __slots__ = (
