--- a/soak/clients.py
+++ b/soak/clients.py
@@ -67,8 +67,8 @@
     async def _request(self, router: int) -> None:
         """Send one request; retry it once if its connection closed just as it was sent."""
         request = draw_request(self._rng, self._functions, self._weights)
-        is_crossing = await self._requests.send(request, router, self._command.ports[router])
-        if is_crossing and self._command.ports[router]:
+        should_retry = await self._requests.send(request, router, self._command.ports[router])
+        if should_retry and self._command.ports[router]:
             await self._requests.send(request, router, self._command.ports[router], is_retry=True)
 
     async def _connect_bad_client(self, router: int) -> None:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,7 +1,7 @@
 """The faults: one function each, and the registry that says what they hit and which exclude each other.
 
-Each function injects its fault, keeps it up for the planned duration, and returns once the target has
-recovered or was replaced.
+Each function injects its fault and returns once that is over. A fault that lasts is kept up for the planned
+duration; restarts, reloads, resets and clock steps have no duration, and a clock step is never undone.
 """
 
 import asyncio
--- a/soak/request_client.py
+++ b/soak/request_client.py
@@ -21,7 +21,7 @@
 CLOSE_SHARE = 0.03
 MIN_TIMEOUT_SHARE = 0.5  # of the site's longest timeout
 MAX_LEAVE_ROOT = 0.5  # a client leaves after a share of the timeout, the square of at most this: mostly soon
-CROSSING_S = 0.05  # a request that was sent so shortly before its connection closed is retried once
+CLOSE_RACE_S = 0.05  # a connection that closes this soon after a request may not have seen it: retried once
 PATIENCE_S = 1.0  # after the timeout, until the client gives up
 MAX_BODY_BYTES = 2_000
 
@@ -34,7 +34,7 @@
     CLOSE = auto()  # it closes the connection
 
 
-class ClientRequest(Struct, frozen=True):
+class GeneratedRequest(Struct, frozen=True):
     """A request; `fields` has its parts by their names on the wire."""
 
     request_id: str
@@ -64,11 +64,11 @@
         return fields
 
 
-def draw_request(rng: random.Random, functions: list[str], weights: list[float]) -> ClientRequest:
+def draw_request(rng: random.Random, functions: list[str], weights: list[float]) -> GeneratedRequest:
     """Draw a request; functions are drawn by their weights."""
     class_name = rng.choices(list(site.CLASS_SHARES), list(site.CLASS_SHARES.values()))[0]
     timeout_ms = int(site.MAX_TIMEOUT_MS * rng.uniform(MIN_TIMEOUT_SHARE, 1.0))
-    return ClientRequest(
+    return GeneratedRequest(
         request_id=f"{rng.getrandbits(64):016x}",
         class_name=class_name,
         timeout_ms=timeout_ms,
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
+class SentRequest:
     """A request that was sent on a connection.
 
     Attributes:
@@ -90,7 +90,7 @@
         was_alone: whether no other request was pending on the connection.
     """
 
-    request: ClientRequest
+    request: GeneratedRequest
     connection: ThriftConnection
     seqid: int
     answer: asyncio.Future[ClientAnswer]
@@ -106,7 +106,9 @@
         self._recorder = recorder
         self._rng = rng
 
-    async def send(self, request: ClientRequest, router: int, port: int, *, is_retry: bool = False) -> bool:
+    async def send(
+        self, request: GeneratedRequest, router: int, port: int, *, is_retry: bool = False
+    ) -> bool:
         """Send a request and wait until it is over.
 
         Returns:
@@ -119,20 +121,20 @@
             connection = await self._connections.acquire(port, is_new=is_new, is_private=closes)
         except OSError:
             return False  # never sent
-        exchange = self._begin(request, router, connection)
+        sent = self._begin(request, router, connection)
         try:
-            await self._await_end(exchange, departure)
+            await self._await_end(sent, departure)
         except ConnectionEndedError as error:
-            is_crossing = exchange.was_alone and error.at - exchange.sent_at <= CROSSING_S and not is_retry
+            should_retry = sent.was_alone and error.at - sent.sent_at <= CLOSE_RACE_S and not is_retry
             self._recorder.add(
-                ConnectionLost(request.request_id, error.at, error.cause, is_retried=is_crossing)
+                ConnectionLost(request.request_id, error.at, error.cause, is_retried=should_retry)
             )
-            return is_crossing
+            return should_retry
         finally:
-            connection.pending.pop(exchange.seqid, None)
+            connection.pending.pop(sent.seqid, None)
             if closes:
                 connection.close()
-        self._record_surplus(exchange)
+        self._record_surplus(sent)
         return False
 
     def _draw_departure(self) -> Departure:
@@ -140,7 +142,7 @@
             return Departure.CLOSE
         return Departure.CANCEL if self._rng.random() < CANCEL_SHARE else Departure.NONE
 
-    def _begin(self, request: ClientRequest, router: int, connection: ThriftConnection) -> Exchange:
+    def _begin(self, request: GeneratedRequest, router: int, connection: ThriftConnection) -> SentRequest:
         """Send a request on a connection."""
         seqid = connection.take_seqid()
         answer = connection.expect_answer(seqid)
@@ -151,42 +153,42 @@
         self._recorder.add(
             RequestSent(request.request_id, router, request.class_name, sent_at, request.timeout_s)
         )
-        return Exchange(request, connection, seqid, answer, sent_at, was_alone=was_alone)
+        return SentRequest(request, connection, seqid, answer, sent_at, was_alone=was_alone)
 
-    async def _await_end(self, exchange: Exchange, departure: Departure) -> None:
+    async def _await_end(self, sent: SentRequest, departure: Departure) -> None:
         """Wait for the answer; a client that departs waits only for a part of the timeout."""
         if departure is not Departure.NONE:
-            leave_after_s = exchange.request.timeout_s * self._rng.uniform(0.0, MAX_LEAVE_ROOT) ** 2
-            done, _ = await asyncio.wait([exchange.answer], timeout=leave_after_s)
+            leave_after_s = sent.request.timeout_s * self._rng.uniform(0.0, MAX_LEAVE_ROOT) ** 2
+            done, _ = await asyncio.wait([sent.answer], timeout=leave_after_s)
             if not done:
-                await self._leave(exchange, departure)
+                await self._leave(sent, departure)
                 return
-        await self._await_answer(exchange)
+        await self._await_answer(sent)
 
-    async def _await_answer(self, exchange: Exchange) -> None:
-        request = exchange.request
+    async def _await_answer(self, sent: SentRequest) -> None:
+        request = sent.request
         try:
-            answer = await asyncio.wait_for(exchange.answer, request.timeout_s + PATIENCE_S)
+            answer = await asyncio.wait_for(sent.answer, request.timeout_s + PATIENCE_S)
         except TimeoutError:
             return
         expected_body = served_body(bytes.fromhex(request.request_id))
         is_genuine = answer.kind is not AnswerKind.SERVED or answer.body == expected_body
         self._recorder.add(RequestAnswered(request.request_id, answer.at, answer.kind, is_genuine=is_genuine))
 
-    async def _leave(self, exchange: Exchange, departure: Departure) -> None:
+    async def _leave(self, sent: SentRequest, departure: Departure) -> None:
         if departure is Departure.CLOSE:
-            exchange.connection.pending.pop(exchange.seqid, None)
-            exchange.connection.close()
+            sent.connection.pending.pop(sent.seqid, None)
+            sent.connection.close()
         else:
-            exchange.connection.send(encode_cancel(exchange.seqid))
-        self._recorder.add(ClientGone(exchange.request.request_id, time.monotonic()))
+            sent.connection.send(encode_cancel(sent.seqid))
+        self._recorder.add(ClientGone(sent.request.request_id, time.monotonic()))
         if departure is Departure.CANCEL:
             # An answer that crossed the cancellation on the wire is not surplus.
-            await asyncio.wait([exchange.answer], timeout=PATIENCE_S)
+            await asyncio.wait([sent.answer], timeout=PATIENCE_S)
 
-    def _record_surplus(self, exchange: Exchange) -> None:
+    def _record_surplus(self, sent: SentRequest) -> None:
         """Attribute surplus answers of a connection to this request, as they name none."""
-        if exchange.connection.surplus_answers:
-            request_id = exchange.request.request_id
+        if sent.connection.surplus_answers:
+            request_id = sent.request.request_id
             self._recorder.add(RequestAnswered(request_id, time.monotonic(), AnswerKind.SURPLUS))
-            exchange.connection.surplus_answers = 0
+            sent.connection.surplus_answers = 0
--- a/soak/router_slot.py
+++ b/soak/router_slot.py
@@ -19,8 +19,10 @@
 READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.02
 EXIT_TIMEOUT_S = 30.0  # after SIGKILL
-MAX_DRAIN_S = 3.0  # after SIGTERM, even if requests may take longer
-KILL_GRACE_S = 0.7  # on top, before SIGKILL
+# SIGKILL follows SIGTERM after the longest timeout of a request, limited to the first of these, plus the
+# second; `function_router.net.drain` relies on both.
+MAX_KILL_TIMEOUT_S = 3.0
+KILL_GRACE_S = 0.7
 LOG_READ_BYTES = 4096  # small, so that the pipe fills up soon while the log is not read
 LOG_POLL_S = 0.05  # while the log is not read
 
@@ -99,7 +101,7 @@
         """Send SIGTERM, then SIGKILL if it still runs after the longest timeout of a request and a margin."""
         self.incarnation.term_at = time.monotonic()
         self._signal(signal.SIGTERM)
-        if not await self._record_exit(min(site.MAX_TIMEOUT_MS / 1000, MAX_DRAIN_S) + KILL_GRACE_S):
+        if not await self._record_exit(min(site.MAX_TIMEOUT_MS / 1000, MAX_KILL_TIMEOUT_S) + KILL_GRACE_S):
             self.incarnation.overdue_at = time.monotonic()
             self._signal(signal.SIGKILL)
             await self._record_exit(EXIT_TIMEOUT_S)
--- a/soak/thrift_client.py
+++ b/soak/thrift_client.py
@@ -116,7 +116,7 @@
 
 
 async def is_router_ready(port: int) -> bool:
-    """Whether a router on loopback answers that it is ready."""
+    """Whether a router on loopback answers a status request; the flag in the answer is not read."""
     try:
         connection = await ThriftConnection.open(port)
     except OSError:
--- a/soak/worker.py
+++ b/soak/worker.py
@@ -17,11 +17,6 @@
 MIN_START_FACTOR = 0.8  # of the mean time of a cold start
 MAX_START_FACTOR = 1.2
 
-# How a request found its instance, by the word on the wire.
-WARM = "reused"
-COLD_START = "init"
-JOINED_COLD_START = "shared_init"
-
 
 class FunctionInstances:
     """The instances of one function on this worker.
@@ -43,8 +38,8 @@
     def start_kind(self) -> str:
         """How a request that arrives now finds its instance."""
         if self.count:
-            return WARM
-        return JOINED_COLD_START if self._starting else COLD_START
+            return frames.REUSED
+        return frames.JOINED_START if self._starting else frames.STARTED
 
     async def ensure(self, count: int) -> None:
         """Start instances, one after the other, until there are `count`."""
--- a/tests/test_soak_request_client.py
+++ b/tests/test_soak_request_client.py
@@ -5,14 +5,14 @@
 import pytest
 
 from soak import site
-from soak.request_client import ClientRequest, draw_request
+from soak.request_client import GeneratedRequest, draw_request
 
 REQUEST_ID = "ab" * 8
 
 
 @pytest.mark.parametrize(("class_name", "has_key"), [("view", False), ("save", True), ("settle", False)])
 def test_only_a_class_that_is_deduplicated_has_an_idempotency_key(class_name, has_key):
-    request = ClientRequest(REQUEST_ID, class_name, 1_500, "north", "f")
+    request = GeneratedRequest(REQUEST_ID, class_name, 1_500, "north", "f")
 
     assert ("dedupe" in request.fields) == has_key
     assert (request.fields["op"], request.fields["ttl"]) == (class_name, "1500")
