--- a/function_router/config/schema.py
+++ b/function_router/config/schema.py
@@ -1,7 +1,8 @@
 """The JSON of the configuration, the settings and the endpoint list, in the words of the operator's pages.
 
-Each attribute is a key of the JSON. Keys that the router does not use are not listed; msgspec ignores them.
-Times are milliseconds. `function_router.config.conversion` translates to the program's own names.
+Each attribute is a key of the JSON; msgspec ignores other keys. `limits.cores` and `fleet.revision` are
+checked only. Times are milliseconds. `function_router.config.conversion` translates to the program's own
+names.
 """
 
 from typing import Annotated, Any, Literal
--- a/function_router/net/acceptor.py
+++ b/function_router/net/acceptor.py
@@ -19,7 +19,7 @@
 BACKLOG = 1024
 # Connections that are accepted in one turn of the event loop.
 MAX_ACCEPTS_PER_TURN = 64
-# Until the next try, where no file descriptor was left.
+# How long accepting pauses: at the limit on connections, or after a failed accept or registration.
 ACCEPT_PAUSE_MS = 50.0
 
 
--- a/function_router/net/close_reason.py
+++ b/function_router/net/close_reason.py
@@ -15,7 +15,7 @@
     CONNECTION_REFUSED = auto()  # the peer's host refused the connection
     UNREACHABLE = auto()  # connecting failed in another way
     CONNECT_TIMEOUT = auto()  # connecting took too long
-    NO_FILE_DESCRIPTOR = auto()  # this process may not open another connection
+    NO_FILE_DESCRIPTOR = auto()  # none is left, or a limit on connections is reached
     LOCAL_FAILURE = auto()  # a system call failed for a reason that says nothing about the peer
     CLOSED_BY_PEER = auto()  # the peer closed the connection
     RESET_BY_PEER = auto()  # the connection broke
--- a/function_router/net/connection_set.py
+++ b/function_router/net/connection_set.py
@@ -9,9 +9,10 @@
 from function_router.net.worker_connection import ConnectError, WorkerConnection, WorkerConnectionOwner
 from function_router.net.worker_messages import Exchange
 
-# To one worker; those that are retired are not counted.
+# Connections to one worker, without retired ones.
 MAX_CONNECTIONS = 6
-# Up to this number each exchange gets a connection of its own: a broken connection ends all exchanges on it.
+# While all of fewer connections are in use, a spare one is opened, so that exchanges rarely share one: a
+# broken connection ends all exchanges on it.
 CONNECTIONS_BEFORE_SHARING = 4
 
 
--- a/function_router/net/endpoint_registry.py
+++ b/function_router/net/endpoint_registry.py
@@ -32,7 +32,10 @@
 
 
 class AddressedEndpoint(Struct, frozen=True):
-    """An endpoint for the decisions, with the address that only the network needs."""
+    """An endpoint as the list has it, and its address, which only the network needs.
+
+    Its start time is Unix time. The decisions get a copy with the time on their own clock.
+    """
 
     endpoint: Endpoint
     address: Address | None  # None: not in the record; an earlier one stays valid
--- a/function_router/net/event_loop.py
+++ b/function_router/net/event_loop.py
@@ -11,7 +11,7 @@
 from function_router.net.signal_wakeup import SignalWakeup
 from function_router.net.timer_wheel import TimerWheel
 
-# A turn that takes longer is logged, as replies may miss their deadlines.
+# A turn that takes longer, counted from its last poll, is logged, as replies may miss their deadlines.
 SLOW_TURN_MS = 80.0
 # A turn that has taken longer polls the sockets again before it writes: the client of a request may have
 # disconnected meanwhile, and an attempt must not start more than 100 ms after that.
--- a/function_router/net/idle_limit.py
+++ b/function_router/net/idle_limit.py
@@ -7,7 +7,7 @@
 MIN_LIMIT_MS = 50.0
 # Of the idle time after which a connection turned out to be stale.
 STALE_IDLE_SHARE = 0.7
-# At each periodic check, which is four times a second.
+# At each periodic check, four times a second: a lowered limit doubles in about 9 s.
 GROWTH_FACTOR = 1.02
 
 
--- a/function_router/net/pending_requests.py
+++ b/function_router/net/pending_requests.py
@@ -56,7 +56,7 @@
 
 
 class RecentlyFinishedRequests:
-    """The requests that finished since the batch of events before the last one began.
+    """The requests that finished since the previous batch of events began.
 
     The decision module may still send an attempt of one of them, as it has not been notified of the end yet.
     """
--- a/function_router/net/pooled_worker.py
+++ b/function_router/net/pooled_worker.py
@@ -128,7 +128,10 @@
             self._start(exchange, connection)
 
     def _start(self, exchange: Exchange, connection: WorkerConnection) -> None:
-        """Put an exchange on a connection, and open a spare one for the next if the settings want that."""
+        """Put an exchange on a connection, and open a spare one for the next where that is called for.
+
+        It is where this connection already carried an attempt, or where the settings allow connecting ahead.
+        """
         is_shared = connection.has_attempt_in_flight
         connection.start(exchange)
         if is_shared or self._resources.transport.may_preconnect:
--- a/function_router/net/reload.py
+++ b/function_router/net/reload.py
@@ -45,9 +45,8 @@
         self._loop = loop
         self._endpoint_watch = endpoint_watch
         self._log = log
-        self._retry_until_ms: float | None = (
-            None  # monotonic; None: no read has failed since the last one that succeeded
-        )
+        # When to give up (monotonic); None while no read has failed since the last one that succeeded.
+        self._retry_until_ms: float | None = None
 
     def run(self) -> None:
         """Reload now, or retry shortly where the file can't be read because of a transient error."""
--- a/function_router/net/router_process.py
+++ b/function_router/net/router_process.py
@@ -27,7 +27,7 @@
 # Between the checks for idle and silent connections.
 TIMEOUT_CHECK_INTERVAL_MS = 250.0
 
-# Share of the file descriptors for connections of clients, which hold a third of them at most.
+# Share of the file descriptors for connections of clients.
 CLIENT_SHARE = 0.4
 # Share of the file descriptors for connections to workers.
 WORKER_SHARE = 0.4
--- a/function_router/net/send_checks.py
+++ b/function_router/net/send_checks.py
@@ -46,7 +46,8 @@
     """
     not_sent_reason = check_worker(exchange, state)
     if not_sent_reason or exchange.is_done:
-        invariants.record(Invariant.STARTED_BY_THE_RULES, f"{_describe(exchange)}: {not_sent_reason}")
+        cause = not_sent_reason.name if not_sent_reason else "finished already"
+        invariants.record(Invariant.STARTED_BY_THE_RULES, f"{_describe(exchange)}: {cause}")
     excess_ms = exchange.timeout_excess_ms(written_at_ms)
     if excess_ms > MAX_TIMEOUT_EXCESS_MS:
         invariants.record(Invariant.TIMEOUT_PASSED_ON, f"{_describe(exchange)}: {excess_ms:.0f} ms")
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -75,7 +75,7 @@
         "_partial_frame_timer",
         "_reader",
         "_telemetry",
-        "_unstarted",
+        "_unwritten_at_flush",
         "_used_ids",
         "connection",
         "exchanges",
@@ -105,7 +105,7 @@
         self._max_exchanges = transport.max_exchanges_per_connection
         self._reader = frames.FrameReader()
         self._used_ids: dict[bytes, None] = {}  # ids that may not be used again here, oldest first
-        self._unstarted: list[Exchange] = []  # of which nothing had been written at the last flush
+        self._unwritten_at_flush: list[Exchange] = []  # of which nothing was written by the last flush
         self._partial_frame_timer: Timer | None = None
         connection = Connection.connect(loop, owner.address, self, transport.connect_timeout_ms)
         if isinstance(connection, CloseReason):
@@ -173,7 +173,7 @@
             self._activity.on_in_use()
         self.exchanges[exchange.exchange_id] = exchange
         exchange.attach(self, self.connection.write(exchange.encode()))
-        self._unstarted.append(exchange)
+        self._unwritten_at_flush.append(exchange)
 
     def remove(self, exchange: Exchange) -> None:
         """Take out an exchange without an answer, and cancel an attempt that the worker may have received."""
@@ -250,14 +250,14 @@
 
     def on_flushed(self) -> None:
         """Check at run time that the exchanges that have just started were allowed to."""
-        if not self._unstarted:
+        if not self._unwritten_at_flush:
             return
-        for exchange in self._unstarted:
+        for exchange in self._unwritten_at_flush:
             if exchange.is_started:
                 record_start_violations(
                     exchange, self._owner.state, self.connection.last_write_ms, self._telemetry.invariants
                 )
-        self._unstarted = self.unwritten()
+        self._unwritten_at_flush = self.unwritten()
 
     def on_write_delayed(self) -> None:
         """Finish exchanges that may not be sent any more, and have the others state the time left now."""
--- a/function_router/net/worker_messages.py
+++ b/function_router/net/worker_messages.py
@@ -27,6 +27,7 @@
     frames.OK: Outcome.OK,
     frames.NOT_LOADED: Outcome.NOT_LOADED,
     frames.QUEUE_FULL: Outcome.QUEUE_FULL,
+    # The worker dropped it unrun, as its time was up: a retry is as safe as if it was never sent.
     frames.EXPIRED: Outcome.NOT_SENT,
 }
 _START_ORDER_OUTCOMES = {
