--- a/tests/net/test_exchange_queue.py
+++ b/tests/net/test_exchange_queue.py
@@ -7,11 +7,6 @@
 from function_router.net.exchange_queue import ExchangeQueue
 
 
-@pytest.fixture
-def results():
-    return []
-
-
 @pytest.fixture
 def exchanges(results):
     """Three exchanges that share a list of results."""
--- a/tests/net/test_worker_messages.py
+++ b/tests/net/test_worker_messages.py
@@ -15,11 +15,6 @@
 UNKNOWN_CODE = 99
 
 
-@pytest.fixture
-def results():
-    return []
-
-
 @pytest.fixture
 def holder():
     return mock.Mock()
