--- a/function_router/config/conversion.py
+++ b/function_router/config/conversion.py
@@ -3,8 +3,8 @@
 from function_router.config.schema import (
     FIXED_WEIGHT_SOURCES,
     START_ON_REQUEST,
-    BoundsSection,
     ClassSection,
+    RoutingLimitsSection,
     SettingsSection,
 )
 from function_router.config.types import TransportSettings
@@ -72,5 +72,5 @@
     )
 
 
-def _max_retry_after_ms(bounds: BoundsSection) -> float:
+def _max_retry_after_ms(bounds: RoutingLimitsSection) -> float:
     return bounds.max_retry_after if bounds.retry_after else 0.0
--- a/function_router/config/parsing.py
+++ b/function_router/config/parsing.py
@@ -6,15 +6,15 @@
 import msgspec
 
 from function_router.config.errors import ConfigurationError
-from function_router.config.schema import SEED_KEY, WHOLE_FILE
+from function_router.config.schema import SEED_KEY, WHOLE_FILE_KEY
 from function_router.config.types import Address
 
 MAX_PORT = 65_535
-HEXADECIMAL = 16
+HEXADECIMAL_BASE = 16
 
 # Values are quoted in error messages up to these lengths, so that a message stays one short line.
-MAX_QUOTED_ADDRESS = 60
-MAX_QUOTED_SEED = 40
+MAX_QUOTED_ADDRESS_LENGTH = 60
+MAX_QUOTED_SEED_LENGTH = 40
 
 # What msgspec puts between the text of an error and the path of the value.
 MSGSPEC_PATH_SEPARATOR = " - at `$"
@@ -38,9 +38,9 @@
     except msgspec.ValidationError as error:
         problem, _, path = str(error).partition(MSGSPEC_PATH_SEPARATOR)
         key = (parent_key + path.rstrip("`")).lstrip(".")
-        raise ConfigurationError(key or WHOLE_FILE, problem) from None
+        raise ConfigurationError(key or WHOLE_FILE_KEY, problem) from None
     except RecursionError:
-        raise ConfigurationError(parent_key or WHOLE_FILE, "nested too deeply") from None
+        raise ConfigurationError(parent_key or WHOLE_FILE_KEY, "nested too deeply") from None
 
 
 def _without_nulls(value: object) -> object:
@@ -64,7 +64,7 @@
         ipaddress.ip_address(host)
         port = int(port_text)
     except ValueError:
-        problem = f"expected a numeric IP address and a port, got {text[:MAX_QUOTED_ADDRESS]!r}"
+        problem = f"expected a numeric IP address and a port, got {text[:MAX_QUOTED_ADDRESS_LENGTH]!r}"
         raise ConfigurationError(key, problem) from None
     if not 0 <= port <= MAX_PORT:
         raise ConfigurationError(key, f"expected a port from 0 to {MAX_PORT}, got {port}")
@@ -80,7 +80,7 @@
     if isinstance(seed, int):
         return seed
     try:
-        return int(seed, HEXADECIMAL)
+        return int(seed, HEXADECIMAL_BASE)
     except ValueError:
-        problem = f"expected a hexadecimal number, got {seed[:MAX_QUOTED_SEED]!r}"
+        problem = f"expected a hexadecimal number, got {seed[:MAX_QUOTED_SEED_LENGTH]!r}"
         raise ConfigurationError(SEED_KEY, problem) from None
--- a/function_router/config/schema.py
+++ b/function_router/config/schema.py
@@ -25,7 +25,7 @@
 SEED_KEY = "seed"
 SETTINGS_KEY = "settings"
 # Takes the place of a key in an error of the file as a whole.
-WHOLE_FILE = "configuration"
+WHOLE_FILE_KEY = "configuration"
 
 # Fewer sockets leave no useful share for the connections to workers and those of clients.
 MIN_SOCKETS = 32
@@ -57,7 +57,7 @@
     quota_rps: NonNegativeFloat | None = None  # requests/s at all routers together; None: no quota
 
 
-class BoundsSection(Struct):
+class RoutingLimitsSection(Struct):
     """Limits on what a router may do: `settings.bounds`."""
 
     cancel: bool = True
@@ -71,7 +71,7 @@
     max_open: PositiveInt = 20_000
 
 
-class FamilySection(Struct):
+class InstanceLifecycleSection(Struct):
     """How functions start on the workers: `settings.family_info`."""
 
     may_order: bool = True
@@ -105,8 +105,8 @@
 
     classes: list[ClassSection] = []
     tenants: list[TenantSection] = []
-    bounds: BoundsSection = msgspec.field(default_factory=BoundsSection)
-    family_info: FamilySection = msgspec.field(default_factory=FamilySection)
+    bounds: RoutingLimitsSection = msgspec.field(default_factory=RoutingLimitsSection)
+    family_info: InstanceLifecycleSection = msgspec.field(default_factory=InstanceLifecycleSection)
     invariants: InvariantsSection = msgspec.field(default_factory=InvariantsSection)
     costs: CostsSection = msgspec.field(default_factory=CostsSection)
     fleet_size: PositiveInt = 1
@@ -115,7 +115,7 @@
     weight_source: str = "none"
 
 
-class LimitsSection(Struct):
+class ResourceLimitsSection(Struct):
     """Resources of the machine that the process may use: `limits`."""
 
     cores: NonNegativeFloat = 1.0
@@ -123,7 +123,7 @@
     sockets: Annotated[int, Meta(ge=MIN_SOCKETS)] = 1024
 
 
-class KnownSection(Struct):
+class InitialEventsSection(Struct):
     """The events of the endpoint log that the process starts from: `known`."""
 
     seq: NonNegativeInt = 0
@@ -138,8 +138,8 @@
     name: str = ""
     listen: str = ""
     seed: str | int = 0
-    limits: LimitsSection = msgspec.field(default_factory=LimitsSection)
-    known: KnownSection = msgspec.field(default_factory=KnownSection)
+    limits: ResourceLimitsSection = msgspec.field(default_factory=ResourceLimitsSection)
+    known: InitialEventsSection = msgspec.field(default_factory=InitialEventsSection)
 
 
 class EndpointRecord(Struct, frozen=True):
--- a/function_router/simulator_adapter.py
+++ b/function_router/simulator_adapter.py
@@ -26,7 +26,7 @@
 )
 
 # Fields of a batch and of its reply.
-NOW = "wall"
+BATCH_TIME = "wall"
 ROUTER_BATCHES = "ends"
 
 # Fields of an element of ROUTER_BATCHES.
@@ -35,7 +35,7 @@
 REPLY_MESSAGES = "steps"
 
 COMPACT_SEPARATORS = (",", ":")
-MAX_QUOTED_MESSAGE = 80
+MAX_QUOTED_MESSAGE_LENGTH = 80
 
 EXIT_OK = 0
 EXIT_INVALID_BATCH = 2
@@ -65,7 +65,7 @@
             InvalidBatchError: The line is no valid batch.
         """
         batch = _decode_batch(line)
-        now_ms = batch[NOW]
+        now_ms = batch[BATCH_TIME]
         replies = []
         for router_batch in batch[ROUTER_BATCHES]:
             _check_router_batch(router_batch)
@@ -80,7 +80,7 @@
         replies: list[JsonObject] = []
         events: list[Event] = []
         for message in messages:
-            name, body = _name_and_body(message)
+            name, body = _split_message(message)
             if name in (ROUTER_STARTED, ROUTER_KILLED):
                 replies += self._handle(router_id, now_ms, events)
                 events = []
@@ -103,7 +103,7 @@
         try:
             actions = self.routers[router_id].handle(now_ms, events)
         except Exception as error:  # noqa: BLE001 (the wire has a message for any exception of the decisions)
-            return [write_exception(_describe(error))]
+            return [write_exception(_describe_exception(error))]
         return [write_action(action) for action in actions]
 
 
@@ -113,8 +113,8 @@
     except ValueError as error:
         problem = f"not JSON: {error}"
         raise InvalidBatchError(problem) from None
-    if not isinstance(batch, dict) or not isinstance(batch.get(NOW), int | float):
-        problem = f"a batch is an object with a number {NOW!r}"
+    if not isinstance(batch, dict) or not isinstance(batch.get(BATCH_TIME), int | float):
+        problem = f"a batch is an object with a number {BATCH_TIME!r}"
         raise InvalidBatchError(problem)
     if not isinstance(batch.get(ROUTER_BATCHES), list):
         problem = f"a batch has an array {ROUTER_BATCHES!r}"
@@ -128,16 +128,16 @@
         raise InvalidBatchError(problem)
 
 
-def _name_and_body(message: object) -> tuple[str, Any]:
+def _split_message(message: object) -> tuple[str, Any]:
     if not isinstance(message, dict) or len(message) != 1:
-        quoted = json.dumps(message)[:MAX_QUOTED_MESSAGE]
+        quoted = json.dumps(message)[:MAX_QUOTED_MESSAGE_LENGTH]
         problem = f"an event is an object with one name: {quoted}"
         raise InvalidBatchError(problem)
     [(name, body)] = message.items()
     return name, body
 
 
-def _describe(error: Exception) -> str:
+def _describe_exception(error: Exception) -> str:
     """The type of an error, the function and line that raised it, and its text."""
     frame = traceback.extract_tb(error.__traceback__)[-1]
     return f"{type(error).__name__} in {frame.name}, line {frame.lineno}: {error}"
--- a/function_router/simulator_codec.py
+++ b/function_router/simulator_codec.py
@@ -71,7 +71,7 @@
 
 # Values of LIST_KIND; any other one is a list of changes, too.
 CHANGES_ONLY = 0
-COMPLETE_LISTS = (1, 2)  # the current list, and the one that the router last had
+COMPLETE_LIST_KINDS = (1, 2)  # the current list, and the one that the router last had
 LIST_UNAVAILABLE = 3
 
 # Fields of REQUEST.
@@ -80,17 +80,17 @@
 REQUEST_TIMEOUT = "time_budget"
 REQUEST_CONCURRENCY = "per_copy"
 REQUEST_MEMORY_MB = "mem_mb"
-REQUEST_START_TIME = "load_ms"
-REQUEST_HINT = "hint"
+REQUEST_EXPECTED_START_MS = "load_ms"
+REQUEST_EXPECTED_RUN_MS = "hint"
 REQUEST_FLAGS = "bitmap"
-HINT_IS_VALID = 1  # a bit of REQUEST_FLAGS
+EXPECTED_RUN_MS_IS_VALID = 1  # a bit of REQUEST_FLAGS
 
 # Fields of ATTEMPT_ENDED.
 IS_ANSWERED = "ended"
 LOAD_REPORT = "health_info"
-REMARK = "remark"
+PACKED_STATUS = "remark"
 
-# REMARK has the start kind in its lowest three bits, and the number of requests in flight above them.
+# PACKED_STATUS has the start kind in its lowest three bits, and the number of requests in flight above them.
 START_KIND_MASK = 7
 IN_FLIGHT_SHIFT = 3
 
@@ -121,7 +121,7 @@
     if kind == LIST_UNAVAILABLE:
         return None
     endpoints = [read_endpoint(entry) for entry in body.get(LIST_ENTRIES) or []]
-    return EndpointsChanged(endpoints, is_complete=kind in COMPLETE_LISTS)
+    return EndpointsChanged(endpoints, is_complete=kind in COMPLETE_LIST_KINDS)
 
 
 def read_request(body: JsonObject) -> RequestArrived:
@@ -135,8 +135,8 @@
         timeout_ms=body.get(REQUEST_TIMEOUT) or 0.0,
         concurrency=body.get(REQUEST_CONCURRENCY) or 1,
         memory_mb=body.get(REQUEST_MEMORY_MB),
-        expected_start_ms=body.get(REQUEST_START_TIME),
-        expected_run_ms=body.get(REQUEST_HINT) if flags & HINT_IS_VALID else None,
+        expected_start_ms=body.get(REQUEST_EXPECTED_START_MS),
+        expected_run_ms=body.get(REQUEST_EXPECTED_RUN_MS) if flags & EXPECTED_RUN_MS_IS_VALID else None,
     )
 
 
@@ -147,7 +147,7 @@
 
 def read_attempt_ended(body: JsonObject) -> AttemptEnded:
     """The end of an attempt."""
-    remark = body.get(REMARK)
+    packed_status = body.get(PACKED_STATUS)
     return AttemptEnded(
         request_id=body[REQUEST_ID],
         attempt_number=body.get(ATTEMPT_NUMBER) or 0,
@@ -155,8 +155,8 @@
         outcome=OUTCOMES[body[OUTCOME]],
         duration_ms=body.get(DURATION) or 0.0,
         is_answered=bool(body.get(IS_ANSWERED)),
-        start_kind=StartKind((remark or 0) & START_KIND_MASK),
-        in_flight=None if remark is None else remark >> IN_FLIGHT_SHIFT,
+        start_kind=StartKind((packed_status or 0) & START_KIND_MASK),
+        in_flight=None if packed_status is None else packed_status >> IN_FLIGHT_SHIFT,
         load_report=body.get(LOAD_REPORT),
     )
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
 from helpers.process_harness import ProcessHarness
 from helpers.program_launcher import ProgramLauncher
 
-FILLER_COUNT = 4  # connections that fill the queue of a listener that accepts none
+QUEUED_CONNECTION_COUNT = 4  # connections that fill the queue of a listener that accepts none
 
 
 def pytest_terminal_summary(terminalreporter, config):
@@ -35,14 +35,14 @@
 
 
 @pytest.fixture
-def cleanups():
+def exit_stack():
     """An exit stack: callbacks added to it run when the test has ended, the last one first."""
     with contextlib.ExitStack() as stack:
         yield stack
 
 
 @pytest.fixture
-def start_router(cleanups):
+def start_router(exit_stack):
     """Start routers in this thread; each is closed at the end, with its endpoint log, workers and clients.
 
     The arguments are those of `ProcessHarness`, which it returns.
@@ -50,17 +50,17 @@
 
     def start(*workers, **options):
         harness = ProcessHarness(*workers, **options)
-        cleanups.callback(harness.close)
+        exit_stack.callback(harness.close)
         return harness
 
     return start
 
 
 @pytest.fixture
-def worker(cleanups):
+def worker(exit_stack):
     """A worker that answers start orders and probes by itself, and leaves requests to the test."""
     fake_worker = FakeWorker()
-    cleanups.callback(fake_worker.close)
+    exit_stack.callback(fake_worker.close)
     return fake_worker
 
 
@@ -77,25 +77,25 @@
 
 
 @pytest.fixture
-def unreachable_address(cleanups):
+def unreachable_address(exit_stack):
     """Make addresses at which no connection is established: those of listeners whose queue is full."""
 
     def make():
         full = socket.socket()
         full.bind(("127.0.0.1", 0))
         full.listen(0)
-        fillers = [socket.socket() for _ in range(FILLER_COUNT)]
-        for filler in fillers:
-            filler.setblocking(False)
-            filler.connect_ex(full.getsockname())
-        for sock in (full, *fillers):
-            cleanups.callback(sock.close)
+        queued_sockets = [socket.socket() for _ in range(QUEUED_CONNECTION_COUNT)]
+        for queued_socket in queued_sockets:
+            queued_socket.setblocking(False)
+            queued_socket.connect_ex(full.getsockname())
+        for sock in (full, *queued_sockets):
+            exit_stack.callback(sock.close)
         return full.getsockname()
 
     return make
 
 
 @pytest.fixture
-def programs(cleanups, tmp_path):
+def launcher(exit_stack, tmp_path):
     """Start the program as a process of its own; all processes end with the test."""
-    return ProgramLauncher(cleanups, tmp_path)
+    return ProgramLauncher(exit_stack, tmp_path)
--- a/tests/decisions/conftest.py
+++ b/tests/decisions/conftest.py
@@ -13,6 +13,6 @@
 @pytest.fixture
 def asking(harness):
     """The same router when the list has expired and its warm worker has just been asked for a request."""
-    harness.let_list_expire()
+    harness.expire_list()
     harness.request("r1")
     return harness
--- a/tests/decisions/test_endpoint_leases.py
+++ b/tests/decisions/test_endpoint_leases.py
@@ -4,7 +4,7 @@
 
 import pytest
 from helpers.decision_harness import DecisionHarness, actions_of, start_orders
-from helpers.lease_harness import GRACE_MS, LEASE_MS, LeaseHarness, checked, sent_to
+from helpers.lease_harness import DRAIN_GRACE_MS, LEASE_MS, LeaseHarness, checked, sent_to
 
 from function_router.decisions.actions import LogMessage, NoteWithheld, SendRequest
 from function_router.decisions.endpoint_leases import (
@@ -50,7 +50,7 @@
 
 
 def test_list_that_was_never_confirmed_is_believed_for_the_grace():
-    harness = DecisionHarness(drain_grace_ms=GRACE_MS)
+    harness = DecisionHarness(drain_grace_ms=DRAIN_GRACE_MS)
     harness.feed(EndpointListInterrupted())
 
     assert harness.router.is_endpoint_list_current(LEASE_MS - 1)
@@ -96,10 +96,10 @@
 
 
 def test_request_waits_for_the_answer_of_its_worker(harness):
-    harness.let_list_expire()
+    harness.expire_list()
 
     actions = harness.request("r1")
-    answered = harness.answer_check(harness.warm_id)
+    answered = harness.answer_health_check(harness.warm_id)
 
     assert (sent_to(actions), checked(actions)) == ([], [harness.warm_id])
     assert actions_of(actions, NoteWithheld) == [NoteWithheld("r1", harness.warm_id)]
@@ -108,7 +108,7 @@
 
 def test_lease_counts_from_the_question_and_is_renewed_in_use(asking):
     asked_ms = asking.now_ms
-    asking.end_attempt(*actions_of(asking.answer_check(asking.warm_id), SendRequest))
+    asking.end_attempt(*actions_of(asking.answer_health_check(asking.warm_id), SendRequest))
     asking.now_ms = asked_ms + LEASE_MS - RENEWAL_LEAD_MS - 1
     early = asking.request("r2")
     asking.end_attempt(*actions_of(early, SendRequest))
@@ -131,7 +131,7 @@
 
 def test_worker_that_says_that_it_drains_is_passed_over(asking):
 
-    actions = asking.answer_check(asking.warm_id, Readiness.DRAINING)
+    actions = asking.answer_health_check(asking.warm_id, Readiness.DRAINING)
 
     assert sent_to(actions) == []
     assert [f"worker {asking.warm_id} says that it is draining"] == [
@@ -142,16 +142,16 @@
 
 
 def test_instance_is_started_elsewhere_when_its_worker_drains(asking):
-    [other_id] = checked(asking.answer_check(asking.warm_id, Readiness.DRAINING))
+    [other_id] = checked(asking.answer_health_check(asking.warm_id, Readiness.DRAINING))
 
-    ordered = start_orders(asking.answer_check(other_id))
+    ordered = start_orders(asking.answer_health_check(other_id))
 
     assert other_id != asking.warm_id
     assert [order.worker_id for order in ordered] == [other_id]
 
 
 def test_without_an_answer_another_worker_is_asked(harness):
-    harness.let_list_expire()
+    harness.expire_list()
     asked = checked(harness.request("r1"))
 
     harness.now_ms += CHECK_PATIENCE_MS
@@ -161,12 +161,12 @@
 
 
 def test_start_order_waits_for_a_proof(harness):
-    harness.let_list_expire()
+    harness.expire_list()
     actions = harness.answer_probes(harness.request("cold", function="g"))
     actions += harness.run_timer_until(harness.now_ms + 40)
     [asked_id] = checked(harness.all_actions())
 
-    ordered = start_orders(harness.answer_check(asked_id))
+    ordered = start_orders(harness.answer_health_check(asked_id))
 
     assert start_orders(actions) == []
     assert [order.worker_id for order in ordered] == [asked_id]
@@ -174,7 +174,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
 def test_broken_exchange_ends_the_lease(asking, outcome):
-    [send] = actions_of(asking.answer_check(asking.warm_id), SendRequest)
+    [send] = actions_of(asking.answer_health_check(asking.warm_id), SendRequest)
 
     asking.end_attempt(send, outcome)
 
@@ -182,19 +182,19 @@
 
 
 def test_drain_that_is_asked_again_without_an_answer_stays_known(asking):
-    asking.answer_check(asking.warm_id, Readiness.DRAINING)
+    asking.answer_health_check(asking.warm_id, Readiness.DRAINING)
 
-    asking.answer_check(asking.warm_id, Readiness.UNKNOWN, Outcome.TIMEOUT)
+    asking.answer_health_check(asking.warm_id, Readiness.UNKNOWN, Outcome.TIMEOUT)
 
     assert not asking.worker(asking.warm_id).is_ready
 
 
 def test_draining_worker_is_asked_again_at_growing_intervals(harness):
-    harness.let_list_expire()
+    harness.expire_list()
     harness.request("r1", timeout_ms=60_000.0)
     times_ms = []
     while len(times_ms) < 4:
-        harness.answer_check(harness.warm_id, Readiness.DRAINING)
+        harness.answer_health_check(harness.warm_id, Readiness.DRAINING)
         since_ms = harness.now_ms
         while harness.warm_id not in checked(harness.run_timer_until(harness.now_ms + 20)):
             assert harness.now_ms - since_ms < 10 * RECHECK_INTERVAL_MS
--- a/tests/helpers/__init__.py
+++ b/tests/helpers/__init__.py
@@ -13,7 +13,7 @@
   router.
   `exchanges` builds what a test hands to the worker pool without the decision module.
 - The program from the outside (its commands, signals and exit statuses): `program_launcher.ProgramLauncher`,
-  which starts processes. The fixture `programs` is one.
+  which starts processes. The fixture `launcher` is one.
 
 The peers of the last two are `fake_client.FakeClient`, `fake_worker.FakeWorker` and
 `fake_endpoint_log.FakeEndpointLog`. They never wait: they receive what has come when the test, or its
--- a/tests/helpers/decision_harness.py
+++ b/tests/helpers/decision_harness.py
@@ -25,7 +25,7 @@
 AT_MOST_ONCE = RequestClass("at-most-once", 1000.0, 4000.0, RetrySafety.AT_MOST_ONCE)
 
 TIMER_STEP_MS = 20  # interval of the timer, shorter than the router asks for
-RUN_MS = 100.0  # reported duration of each attempt and each start order
+ATTEMPT_DURATION_MS = 100.0  # reported duration of each attempt and each start order
 
 MANY_ROUTERS_WORKERS = 20  # shared by the routers of `many_routers`
 MANY_ROUTERS_TENANT = "t"  # the one tenant of all of them
@@ -109,11 +109,11 @@
             The start orders among the actions, and all actions that follow from the answers.
         """
         instances_by_worker = instances_by_worker or {}
-        followed = start_orders(actions)
+        resulting_actions = start_orders(actions)
         for probe in probes(actions):
             instances = instances_by_worker.get(probe.worker_id, 0)
-            followed += self.report_instances(probe.worker_id, instances, probe.function)
-        return followed
+            resulting_actions += self.report_instances(probe.worker_id, instances, probe.function)
+        return resulting_actions
 
     def complete_starts(self, actions):
         """Answer each probe and start order with one instance, and those that follow from the answers.
@@ -145,7 +145,7 @@
                 attempt_number,
                 send.worker_id,
                 outcome,
-                RUN_MS,
+                ATTEMPT_DURATION_MS,
                 is_answered,
                 start_kind,
                 in_flight,
--- a/tests/helpers/exchanges.py
+++ b/tests/helpers/exchanges.py
@@ -5,7 +5,7 @@
 from helpers.client_messages import FUNCTION
 
 
-def attempt(worker_id, results, exchange_id=b"12345678", body=b"", within_ms=8000.0):
+def attempt(worker_id, results, exchange_id=b"12345678", body=b"", timeout_ms=8000.0):
     """An attempt that adds its result to a list: an outcome or a close reason, and whether a byte was sent.
 
     The outcome is that of the worker's answer; a close reason says why there is no answer.
@@ -17,7 +17,7 @@
         class_name="view",
         function=FUNCTION,
         body=body,
-        deadline_ms=monotonic_ms() + within_ms,
+        deadline_ms=monotonic_ms() + timeout_ms,
     )
 
 
--- a/tests/helpers/fake_client.py
+++ b/tests/helpers/fake_client.py
@@ -29,7 +29,7 @@
         self.answers = []
         self.last_frame = b""
         self._last_seqid = 0
-        self._withheld = b""
+        self._unsent = b""
 
     def receive(self):
         """Receive all that has come, and decode the answers that are complete."""
@@ -46,23 +46,23 @@
         frame_size = FRAME_LENGTH_BYTES + message_size
         return frame_size if len(self.data) >= frame_size else None
 
-    def send_request(self, class_name="view", body=b"", seqid=None, withhold=0, **fields):
-        """Send a request, but for its last `withhold` bytes; return its sequence number."""
+    def send_request(self, class_name="view", body=b"", seqid=None, unsent_size=0, **fields):
+        """Send a request, but for its last `unsent_size` bytes; return its sequence number."""
         self._last_seqid = seqid or self._last_seqid + 1
         defaults = {"op": class_name, "call": f"{self._last_seqid:016x}", "ttl": "8000"}
         if class_name == "save":
             defaults["dedupe"] = "5c0f"
         self.last_frame = encode_request(self._last_seqid, REQUEST_FIELDS | defaults | fields, body)
-        sent_size = len(self.last_frame) - withhold
-        self._withheld = self.last_frame[sent_size:]
+        sent_size = len(self.last_frame) - unsent_size
+        self._unsent = self.last_frame[sent_size:]
         self.sock.sendall(self.last_frame[:sent_size])
         return self._last_seqid
 
-    def send_withheld(self, max_bytes=None):
+    def send_unsent(self, max_bytes=None):
         """Send what was withheld of the last request, or the next bytes of it."""
-        size = len(self._withheld) if max_bytes is None else max_bytes
-        self.sock.sendall(self._withheld[:size])
-        self._withheld = self._withheld[size:]
+        size = len(self._unsent) if max_bytes is None else max_bytes
+        self.sock.sendall(self._unsent[:size])
+        self._unsent = self._unsent[size:]
 
     def cancel(self, seqid):
         """Cancel the request with this sequence number."""
--- a/tests/helpers/faulty_endpoint_log.py
+++ b/tests/helpers/faulty_endpoint_log.py
@@ -32,7 +32,7 @@
             self.close()
             self.connections.clear()
 
-    def work_again(self, *events):
+    def recover(self, *events):
         """Send these events on all connections, and work from now on."""
         self.fault = None
         for connection in self.connections:
--- a/tests/helpers/lease_harness.py
+++ b/tests/helpers/lease_harness.py
@@ -6,8 +6,8 @@
 from function_router.decisions.types import Outcome, Readiness
 from helpers.decision_harness import DecisionHarness, actions_of
 
-GRACE_MS = 1_000.0
-LEASE_MS = GRACE_MS - LEASE_MARGIN_MS
+DRAIN_GRACE_MS = 1_000.0
+LEASE_MS = DRAIN_GRACE_MS - LEASE_MARGIN_MS
 SLOW_START_MS = 10_000.0
 ROUND_TRIP_MS = 2.0
 
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, **settings):
-        super().__init__(drain_grace_ms=GRACE_MS, slow_start_ms=SLOW_START_MS, **settings)
+        super().__init__(drain_grace_ms=DRAIN_GRACE_MS, slow_start_ms=SLOW_START_MS, **settings)
         self.connected_ms = 0.0
         self.warm_id = self.warm_up()
         self.confirm_list()
@@ -35,12 +35,12 @@
         """Let the endpoint log announce that the list is complete."""
         return self.feed(EndpointListConfirmed(self.now_ms))
 
-    def let_list_expire(self):
+    def expire_list(self):
         """Interrupt the endpoint log, and let the time pass for which the list is still believed."""
         self.feed(EndpointListInterrupted())
         self.now_ms += LEASE_MS
 
-    def answer_check(self, worker_id, readiness=Readiness.READY, outcome=Outcome.OK, lost_at_ms=None):
+    def answer_health_check(self, worker_id, readiness=Readiness.READY, outcome=Outcome.OK, lost_at_ms=None):
         """Let a worker answer a health check that it was sent a round trip ago."""
         asked_ms = self.now_ms
         self.now_ms += ROUND_TRIP_MS
--- a/tests/helpers/process_harness.py
+++ b/tests/helpers/process_harness.py
@@ -11,7 +11,7 @@
 from helpers.exchanges import attempt
 from helpers.fake_client import FakeClient
 from helpers.fake_endpoint_log import FakeEndpointLog
-from helpers.sockets import PATIENCE_S
+from helpers.sockets import WAIT_TIMEOUT_S
 
 MAX_TURN_WAIT_S = 0.005  # for a socket or a timer, before the peers are served again
 SEED = "7"
@@ -114,7 +114,7 @@
 
     def run_until(self, condition, description="it happens"):
         """Run turns of the loop and let the peers receive until a condition holds."""
-        end_s = time.monotonic() + PATIENCE_S
+        end_s = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
             assert time.monotonic() < end_s, f"timed out waiting until {description}"
             self.router_process.loop.run_once(MAX_TURN_WAIT_S)
@@ -127,14 +127,14 @@
         client.request_status(seqid)
         self.run_until(lambda: seqid in client.answer_kinds(), "the status comes")
 
-    def run_request(self, worker):
+    def deliver_request(self, worker):
         """Send a request from a new client and wait until the worker has it; return the client."""
         client = self.connect_client()
         client.send_request()
         self.run_until(lambda: worker.requests, "it runs")
         return client
 
-    def run_attempt(self, worker, results, **options):
+    def deliver_attempt(self, worker, results, **options):
         """Send an attempt to a worker and wait until the worker has it.
 
         Args:
--- a/tests/helpers/serving_worker.py
+++ b/tests/helpers/serving_worker.py
@@ -27,7 +27,7 @@
 
     Attributes:
         is_draining: Whether it accepts no new work.
-        is_cut_off: Whether it neither reads nor answers anything.
+        is_unresponsive: Whether it neither reads nor answers anything.
         has_instances: Whether a request finds a running instance; without one, it starts one.
         new_work: What new work has come, in its order.
         health_checks: When health checks have come, in monotonic seconds.
@@ -36,14 +36,14 @@
     def __init__(self, name):
         super().__init__(name)
         self.is_draining = False
-        self.is_cut_off = False
+        self.is_unresponsive = False
         self.has_instances = False
         self.new_work = []
         self.health_checks = []
 
     def receive(self):
         """Receive all that has come, and answer it, unless it is cut off."""
-        if not self.is_cut_off:
+        if not self.is_unresponsive:
             super().receive()
 
     def stop(self):
@@ -51,7 +51,7 @@
         self.close()
         self.connections.clear()
 
-    def start_again(self):
+    def restart(self):
         """Go on as a new process at the same address."""
         self.listener = socket.create_server(self.address)
         self.listener.setblocking(False)
@@ -72,7 +72,7 @@
             self.health_checks.append(now_s)
             self.answer(received, DRAINING_ANSWER if self.is_draining else READY_ANSWER, fields="")
         elif frame.code == worker_frames.ENSURE_INSTANCES:
-            self._answer_order(received, int(frame.fields[worker_frames.INSTANCES_FIELD]), now_s)
+            self._answer_start_order(received, int(frame.fields[worker_frames.INSTANCES_FIELD]), now_s)
 
     def _answer_request(self, received):
         if self.is_draining:
@@ -82,7 +82,7 @@
         self.has_instances = True
         self.answer(received, fields=f"res={start_kind},company=0", body=b"served")
 
-    def _answer_order(self, received, instances, now_s):
+    def _answer_start_order(self, received, instances, now_s):
         if instances:
             self.new_work.append(NewWork(now_s, is_attempt=False))
             if self.is_draining:
--- a/tests/helpers/tcp_connections.py
+++ b/tests/helpers/tcp_connections.py
@@ -28,11 +28,11 @@
         self.close_reasons.append(reason)
 
 
-class FailingAtFirstSocket:
+class TransientErrorSocket:
     """A socket whose reads and writes fail at first, once with each of some errors."""
 
     def __init__(self, sock, *error_numbers):
-        self.left = {name: list(error_numbers) for name in ("recv", "recvmsg", "sendmsg")}
+        self.remaining_errors = {name: list(error_numbers) for name in ("recv", "recvmsg", "sendmsg")}
         self._sock = sock
 
     def __getattr__(self, name):
@@ -54,8 +54,8 @@
         return self._sock.sendmsg(*arguments)
 
     def _fail(self, name):
-        if self.left[name]:
-            raise OSError(self.left[name].pop(), name)
+        if self.remaining_errors[name]:
+            raise OSError(self.remaining_errors[name].pop(), name)
 
 
 class Peer:
@@ -64,14 +64,14 @@
     def __init__(self, sock):
         self.sock = sock
         self.data = bytearray()
-        self.has_received_end = False
+        self.has_received_eof = False
 
     def receive(self):
         """Receive all that has come."""
         try:
-            while not self.has_received_end:
+            while not self.has_received_eof:
                 data = self.sock.recv(1024 * 1024)
                 self.data += data
-                self.has_received_end = not data
+                self.has_received_eof = not data
         except BlockingIOError:
             pass
--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -5,7 +5,7 @@
 
 import pytest
 from helpers.fake_worker import FakeWorker
-from helpers.sockets import PATIENCE_S
+from helpers.sockets import WAIT_TIMEOUT_S
 from helpers.tcp_connections import Peer
 
 from function_router.net.connection import Connection
@@ -38,10 +38,10 @@
 
 
 @pytest.fixture
-def loop(log_lines, cleanups):
+def loop(log_lines, exit_stack):
     """An event loop without a decision module."""
     loop = EventLoop(lambda _now_ms, _events: None, log_lines.append)
-    cleanups.callback(loop.close)
+    exit_stack.callback(loop.close)
     return loop
 
 
@@ -50,7 +50,7 @@
     """Run turns of the loop until a condition holds; the peers receive after each turn."""
 
     def run(condition, *peers):
-        give_up_at = time.monotonic() + PATIENCE_S
+        give_up_at = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
             assert time.monotonic() < give_up_at, "timed out waiting for the condition"
             loop.run_once(0.005)
@@ -61,10 +61,10 @@
 
 
 @pytest.fixture
-def listener(cleanups):
+def listener(exit_stack):
     """A socket that listens on loopback, as that for clients does."""
     listener = socket.socket()
-    cleanups.callback(listener.close)
+    exit_stack.callback(listener.close)
     enable_receive_timestamps(listener)
     listener.bind(("127.0.0.1", 0))
     listener.listen()
@@ -72,15 +72,15 @@
 
 
 @pytest.fixture
-def accept_socket(listener, cleanups):
+def accept_socket(listener, exit_stack):
     """Make accepted sockets, each with its peer."""
 
     def make():
         peer = Peer(socket.create_connection(listener.getsockname()))
         peer.sock.setblocking(False)
         sock, _ = listener.accept()
-        cleanups.callback(sock.close)
-        cleanups.callback(peer.sock.close)
+        exit_stack.callback(sock.close)
+        exit_stack.callback(peer.sock.close)
         return sock, peer
 
     return make
--- a/tests/net/test_acceptor.py
+++ b/tests/net/test_acceptor.py
@@ -36,27 +36,27 @@
 
 
 @pytest.fixture
-def owner(cleanups):
+def owner(exit_stack):
     owner = FakeOwner()
-    cleanups.callback(lambda: [accepted.sock.close() for accepted in owner.served])
+    exit_stack.callback(lambda: [accepted.sock.close() for accepted in owner.served])
     return owner
 
 
 @pytest.fixture
-def acceptor(loop, owner, log_lines, cleanups):
+def acceptor(loop, owner, log_lines, exit_stack):
     telemetry = Telemetry(lambda text, _source="": log_lines.append(text))
     acceptor = Acceptor(loop, ("127.0.0.1", 0), owner, MAX_CONNECTIONS, telemetry)
-    cleanups.callback(acceptor.close)
+    exit_stack.callback(acceptor.close)
     return acceptor
 
 
 @pytest.fixture
-def connect(acceptor, cleanups):
+def connect(acceptor, exit_stack):
     """Connect clients, which the acceptor has not accepted yet."""
 
     def connect_clients(count):
         for _ in range(count):
-            cleanups.callback(socket.create_connection(acceptor.address).close)
+            exit_stack.callback(socket.create_connection(acceptor.address).close)
 
     return connect_clients
 
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -44,7 +44,7 @@
     """A router that knows a warm instance, so that it sends a request in the turn that reads it."""
     worker = FakeWorker(instances=8)
     harness = start_router(worker, **options)
-    client = harness.run_request(worker)
+    client = harness.deliver_request(worker)
     worker.answer(worker.requests[0])
     harness.run_until(lambda: client.answers, "the first request is answered")
     return harness, worker
@@ -65,13 +65,13 @@
 # --- the end of a connection --------------------------------------------------------------------
 
 
-def test_closed_connection_is_freed_at_once_without_a_collection(harness, cleanups):
+def test_closed_connection_is_freed_at_once_without_a_collection(harness, exit_stack):
     client = harness.connect_client()
     harness.round_trip(client)
     [served] = harness.router_process.listener.connections
     reference = weakref.ref(served.connection)
     gc.disable()
-    cleanups.callback(gc.enable)
+    exit_stack.callback(gc.enable)
     del served
 
     client.close()
@@ -181,19 +181,19 @@
         queueing_harness.round_trip(client)
     served = queueing_harness.only_client_connection()
 
-    client.send_request(withhold=50)
+    client.send_request(unsent_size=50)
     for _ in range(5):
         queueing_harness.run_until(lambda: served.connection.peek() is Unread.NOTHING, "a chunk is read")
         served.messages._waiting_since_ms -= client_messages.MESSAGE_TIMEOUT_MS
         queueing_harness.router_process.listener.check_timeouts()
-        client.send_withheld(10)
+        client.send_unsent(10)
 
     queueing_harness.run_until(lambda: queueing_harness.table.pending, "the request is admitted")
 
 
 def test_message_that_has_come_in_several_chunks_may_pause_for_longer(queueing_harness):
     client = queueing_harness.connect_client()
-    client.send_request(withhold=50)
+    client.send_request(unsent_size=50)
     served = queueing_harness.only_client_connection()
 
     overdue = []
@@ -202,7 +202,7 @@
         last_received_ms = served.connection.last_received_ms
         overdue.append(is_overdue(served, last_received_ms + client_messages.MESSAGE_TIMEOUT_MS))
         served.messages._waiting_since_ms = last_received_ms - client_messages.MESSAGE_TIMEOUT_MS
-        client.send_withheld(10)
+        client.send_unsent(10)
 
     assert overdue == [True, True, False]
 
@@ -211,7 +211,7 @@
     client = queueing_harness.connect_client()
     served = queueing_harness.only_client_connection()
 
-    client.send_request(withhold=50)
+    client.send_request(unsent_size=50)
     queueing_harness.run_until(lambda: served.messages.has_partial_message, "the first part is read")
     now_ms = clock.monotonic_ms()
 
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -51,14 +51,14 @@
 def test_connection_with_a_partial_message_is_evicted_after_silent_ones(start_router):
     harness = start_router(FakeWorker(instances=None), limits=FEW_SOCKETS)
     client = harness.connect_client()
-    client.send_request(withhold=9)
+    client.send_request(unsent_size=9)
     served = harness.only_client_connection()
     harness.run_until(lambda: served.messages.has_partial_message, "the first part is read")
     served.connection.last_used_ms -= 10 * client_listener.FIRST_MESSAGE_GRACE_MS
 
     for _ in range(30):
         connect_and_request_status(harness, "each client is answered")
-    client.send_withheld()
+    client.send_unsent()
 
     harness.run_until(lambda: harness.table.pending, "the request is admitted")
 
--- a/tests/net/test_connection.py
+++ b/tests/net/test_connection.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 import pytest
-from helpers.tcp_connections import FailingAtFirstSocket, RecordingHandler
+from helpers.tcp_connections import RecordingHandler, TransientErrorSocket
 
 from function_router.net import connection as connection_module
 from function_router.net.close_reason import CloseReason
@@ -119,7 +119,7 @@
 
 def test_read_and_write_that_fail_for_a_moment_are_tried_again(accept, run_until, handler):
     connection, peer = accept(
-        handler, lambda sock: FailingAtFirstSocket(sock, errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
+        handler, lambda sock: TransientErrorSocket(sock, errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
     )
     connection.write(b"reply")
     peer.sock.send(b"request")
@@ -127,7 +127,10 @@
     run_until(lambda: handler.close_reasons or (peer.data and handler.data), peer)
 
     assert (handler.data, bytes(peer.data), handler.close_reasons) == (b"request", b"reply", [])
-    assert (connection._sock.left["recvmsg"], connection._sock.left["sendmsg"]) == ([], [])
+    assert (connection._sock.remaining_errors["recvmsg"], connection._sock.remaining_errors["sendmsg"]) == (
+        [],
+        [],
+    )
 
 
 def test_exception_in_on_data_closes_only_that_connection(accept, run_until, log_lines):
@@ -159,13 +162,13 @@
 
 
 def test_peek_that_fails_for_a_moment_is_no_end_of_the_connection(accept, handler):
-    connection, peer = accept(handler, lambda sock: FailingAtFirstSocket(sock, errno.ENOMEM, errno.ENOBUFS))
+    connection, peer = accept(handler, lambda sock: TransientErrorSocket(sock, errno.ENOMEM, errno.ENOBUFS))
     ends_seen = [connection.has_peer_closed(), connection.has_peer_closed(), connection.has_peer_closed()]
 
     peer.sock.close()
 
     assert ends_seen == [False, False, False]
-    assert connection._sock.left["recv"] == []
+    assert connection._sock.remaining_errors["recv"] == []
     assert connection.has_peer_closed()
 
 
@@ -178,7 +181,7 @@
 
     connection.close_after_flush(CloseReason.PROTOCOL_ERROR)
     peer.sock.send(b"another request")
-    run_until(lambda: peer.has_received_end, peer)
+    run_until(lambda: peer.has_received_eof, peer)
     was_closed_before_peer = connection.is_closed
     peer.sock.close()
     run_until(lambda: connection.is_closed)
--- a/tests/net/test_connection_set.py
+++ b/tests/net/test_connection_set.py
@@ -68,10 +68,10 @@
 
 def test_unresponsive_connection_gets_nothing_new(harness, worker, results):
     worker.instances = None
-    harness.run_attempt(worker, results)
+    harness.deliver_attempt(worker, results)
 
     with mock.patch.object(connection_activity, "UNRESPONSIVE_AFTER_MS", -1.0):
-        harness.run_attempt(worker, results, exchange_id=b"abcdefgh")
+        harness.deliver_attempt(worker, results, exchange_id=b"abcdefgh")
 
     assert worker.requests[0].connection is not worker.requests[1].connection
 
--- a/tests/net/test_drain.py
+++ b/tests/net/test_drain.py
@@ -60,11 +60,11 @@
 
 def test_half_read_request_is_served_in_a_drain(harness, worker, client):
     [served] = harness.router_process.listener.connections
-    client.send_request(withhold=9)
+    client.send_request(unsent_size=9)
     harness.run_until(lambda: served.messages.has_partial_message, "half of the request is read")
 
     drain_past_late_arrivals(harness)
-    client.send_withheld()
+    client.send_unsent()
 
     expect_answered(harness, worker, client)
 
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -176,10 +176,10 @@
 
 @pytest.mark.parametrize("is_later_one_last", [True, False])
 def test_complete_list_with_two_at_one_address_keeps_the_one_started_last(
-    cleanups, start_router, is_later_one_last
+    exit_stack, start_router, is_later_one_last
 ):
     worker = FakeWorker("s-2")
-    cleanups.callback(worker.close)
+    exit_stack.callback(worker.close)
     harness = start_router()
     members = [worker.record() | {"id": "s-1"}, worker.record(up_since_ms=9.0)]
     if not is_later_one_last:
--- a/tests/net/test_event_loop.py
+++ b/tests/net/test_event_loop.py
@@ -61,20 +61,20 @@
 
 
 @pytest.fixture
-def loop(recorder, cleanups):
+def loop(recorder, exit_stack):
     loop = EventLoop(recorder.decide, recorder.log_lines.append)
-    cleanups.callback(loop.close)
+    exit_stack.callback(loop.close)
     return loop
 
 
 @pytest.fixture
-def readable_socket(cleanups):
+def readable_socket(exit_stack):
     """Make sockets with a byte to read."""
 
     def make():
         near, far = socket.socketpair()
-        cleanups.callback(near.close)
-        cleanups.callback(far.close)
+        exit_stack.callback(near.close)
+        exit_stack.callback(far.close)
         far.send(b"x")
         return near
 
@@ -90,14 +90,14 @@
     assert recorder.batches == [[TimerFired(1), TimerFired(2)]]
 
 
-def test_event_submitted_by_a_batch_is_in_the_next_one(recorder, cleanups):
+def test_event_submitted_by_a_batch_is_in_the_next_one(recorder, exit_stack):
     def decide(now_ms, events):
         recorder.decide(now_ms, events)
         if events == [TimerFired(1)]:
             loop.submit(TimerFired(2))
 
     loop = EventLoop(decide, recorder.log_lines.append)
-    cleanups.callback(loop.close)
+    exit_stack.callback(loop.close)
     loop.submit(TimerFired(1))
 
     loop.run_once(0)
@@ -196,11 +196,11 @@
 
 
 @pytest.mark.parametrize("is_pending", [False, True], ids=["while_serving", "while_starting"])
-def test_signal_is_handled_in_a_turn(loop, cleanups, is_pending):
+def test_signal_is_handled_in_a_turn(loop, exit_stack, is_pending):
     handled = []
-    cleanups.callback(signal.signal, signal.SIGUSR1, signal.getsignal(signal.SIGUSR1))
+    exit_stack.callback(signal.signal, signal.SIGUSR1, signal.getsignal(signal.SIGUSR1))
     if is_pending:
-        cleanups.callback(signal.pthread_sigmask, signal.SIG_SETMASK, signal.pthread_sigmask(0, []))
+        exit_stack.callback(signal.pthread_sigmask, signal.SIG_SETMASK, signal.pthread_sigmask(0, []))
         signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGUSR1])
         os.kill(os.getpid(), signal.SIGUSR1)
     loop.handle_signals({signal.SIGUSR1: lambda: handled.append(signal.SIGUSR1)})
@@ -277,8 +277,8 @@
         return super().recv(*arguments)
 
 
-def test_signal_that_cannot_be_read_for_a_moment_is_handled_in_a_later_turn(loop, recorder, cleanups):
-    cleanups.callback(signal.signal, signal.SIGUSR1, signal.getsignal(signal.SIGUSR1))
+def test_signal_that_cannot_be_read_for_a_moment_is_handled_in_a_later_turn(loop, recorder, exit_stack):
+    exit_stack.callback(signal.signal, signal.SIGUSR1, signal.getsignal(signal.SIGUSR1))
     handled = []
     near, far = socket.socketpair()
     failing = FailingOnceSocket(fileno=near.detach())
--- a/tests/net/test_health_checks.py
+++ b/tests/net/test_health_checks.py
@@ -117,8 +117,8 @@
 
 @pytest.mark.usefixtures("reports")
 def test_health_check_uses_the_oldest_connection_and_opens_no_other(harness, worker, results):
-    harness.run_attempt(worker, results)
-    harness.run_attempt(worker, results, exchange_id=b"abcdefgh")
+    harness.deliver_attempt(worker, results)
+    harness.deliver_attempt(worker, results, exchange_id=b"abcdefgh")
     harness.run_until(lambda: len(worker.connections) > 1, "there is a second connection")
     harness.round_trip(harness.connect_client())
     connections_before = len(worker.connections)
@@ -150,7 +150,7 @@
 def test_new_work_leaves_on_the_connection_that_has_carried_the_proof(stale, worker, results):
     prove_ready(stale, worker)
 
-    stale.run_attempt(worker, results)
+    stale.deliver_attempt(worker, results)
 
     assert worker.requests[0].connection is worker.connections[0]
     assert dict(stale.router_process.telemetry.invariants.violations) == {}
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -64,11 +64,11 @@
     log("a line")
 
 
-def test_log_that_nobody_reads_does_not_stop_the_process(clock, cleanups):
+def test_log_that_nobody_reads_does_not_stop_the_process(clock, exit_stack):
     read_end, write_end = os.pipe()
-    cleanups.callback(os.close, read_end)
+    exit_stack.callback(os.close, read_end)
     out = os.fdopen(write_end, "w")
-    cleanups.callback(out.close)
+    exit_stack.callback(out.close)
     log = RateLimitedLog("n1", out, clock.read_ms)
 
     def fill():
--- a/tests/net/test_pooled_worker.py
+++ b/tests/net/test_pooled_worker.py
@@ -69,7 +69,7 @@
 
 def test_drain_in_the_endpoint_log_leaves_running_requests_alone(harness, worker):
     worker.instances = 1
-    client = harness.run_request(worker)
+    client = harness.deliver_request(worker)
 
     harness.endpoint_log.send_line(endpoint_event(2, worker.record("terminating")))
     harness.run_until(lambda: harness.router_process.endpoint_watch.last_sequence == 2, "the drain is read")
@@ -81,7 +81,7 @@
 
 def test_new_worker_at_the_address_of_a_removed_one_gets_its_own_connections(harness, pool, worker, results):
     worker_id = worker.worker_id
-    harness.run_attempt(worker, results)
+    harness.deliver_attempt(worker, results)
     address = pool.workers[worker_id].address
 
     pool.update_endpoint(worker_id, None, WorkerState.REMOVED, 0.0)
@@ -109,10 +109,10 @@
 
 
 def test_restart_retires_the_connections_to_the_earlier_process(harness, pool, worker, results):
-    harness.run_attempt(worker, results)
+    harness.deliver_attempt(worker, results)
 
     pool.update_endpoint(worker.worker_id, None, WorkerState.READY, LATER_START_MS)
-    harness.run_attempt(worker, results, exchange_id=OTHER_EXCHANGE_ID)
+    harness.deliver_attempt(worker, results, exchange_id=OTHER_EXCHANGE_ID)
 
     assert worker.requests[0].connection is not worker.requests[1].connection
 
--- a/tests/net/test_request_table.py
+++ b/tests/net/test_request_table.py
@@ -52,7 +52,7 @@
 
 
 def test_cancelled_request_gets_no_answer_and_its_late_one_is_dropped(harness, worker):
-    client = harness.run_request(worker)
+    client = harness.deliver_request(worker)
 
     client.cancel(1)
     harness.run_until(lambda: worker.received(worker_frames.CANCEL), "it is cancelled at the worker")
@@ -67,7 +67,7 @@
 
 
 def test_second_answer_of_a_worker_is_dropped(harness, worker):
-    client = harness.run_request(worker)
+    client = harness.deliver_request(worker)
 
     worker.answer(worker.requests[0], body=b"one")
     worker.answer(worker.requests[0], body=b"two")
@@ -78,7 +78,7 @@
 
 
 def test_closed_client_connection_cancels_its_pending_requests(harness, worker):
-    client = harness.run_request(worker)
+    client = harness.deliver_request(worker)
 
     client.close()
     harness.run_until(lambda: worker.received(worker_frames.CANCEL), "it is cancelled at the worker")
@@ -236,7 +236,7 @@
 
 
 def test_request_served_in_time_is_not_logged(harness, worker):
-    client = harness.run_request(worker)
+    client = harness.deliver_request(worker)
 
     worker.answer(worker.requests[0])
     harness.run_until(lambda: client.answers, "it is answered")
@@ -245,7 +245,7 @@
 
 
 def test_counters_of_what_was_sent_are_logged_once(harness, worker):
-    harness.run_request(worker)
+    harness.deliver_request(worker)
 
     for _ in range(2):
         harness.router_process._log_counters()
--- a/tests/net/test_socket_reader.py
+++ b/tests/net/test_socket_reader.py
@@ -5,8 +5,8 @@
 from unittest import mock
 
 import pytest
-from helpers.sockets import PATIENCE_S, wait_readable
-from helpers.tcp_connections import FailingAtFirstSocket, RecordingHandler
+from helpers.sockets import WAIT_TIMEOUT_S, wait_readable
+from helpers.tcp_connections import RecordingHandler, TransientErrorSocket
 
 from function_router.net import clock, event_loop, socket_reader
 from function_router.net.close_reason import CloseReason
@@ -37,7 +37,7 @@
 
 
 def test_read_that_fails_for_a_moment_returns_none_and_the_next_one_the_bytes(open_reader):
-    reader, sock, peer = open_reader(lambda sock: FailingAtFirstSocket(sock, errno.ENOMEM))
+    reader, sock, peer = open_reader(lambda sock: TransientErrorSocket(sock, errno.ENOMEM))
     peer.sock.send(b"request")
     assert wait_readable(sock)
 
@@ -47,7 +47,7 @@
 
 def test_end_of_the_stream_and_a_broken_connection_differ(open_reader):
     ended, ended_sock, ended_peer = open_reader()
-    broken, _, _ = open_reader(lambda sock: FailingAtFirstSocket(sock, errno.ECONNRESET))
+    broken, _, _ = open_reader(lambda sock: TransientErrorSocket(sock, errno.ECONNRESET))
 
     ended_peer.sock.close()
     assert wait_readable(ended_sock)
@@ -71,7 +71,7 @@
 
     run_until(lambda: handler.data)
 
-    assert 30.0 <= connection.reader.receive_delay_ms < PATIENCE_S * 1000.0
+    assert 30.0 <= connection.reader.receive_delay_ms < WAIT_TIMEOUT_S * 1000.0
 
 
 def test_step_of_the_wall_clock_is_not_taken_for_a_delay(accept, loop, handler):
--- a/tests/net/test_socket_writer.py
+++ b/tests/net/test_socket_writer.py
@@ -3,7 +3,7 @@
 import errno
 
 import pytest
-from helpers.tcp_connections import FailingAtFirstSocket
+from helpers.tcp_connections import TransientErrorSocket
 
 from function_router.net.close_reason import CloseReason
 from function_router.net.socket_writer import SocketWriter
@@ -19,7 +19,7 @@
     def make(*error_numbers):
         sock, _ = accept_socket()
         sock.setblocking(False)
-        return SocketWriter(FailingAtFirstSocket(sock, *error_numbers))
+        return SocketWriter(TransientErrorSocket(sock, *error_numbers))
 
     return make
 
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -5,7 +5,7 @@
 
 import pytest
 from helpers.sockets import wait_readable
-from helpers.tcp_connections import FailingAtFirstSocket
+from helpers.tcp_connections import TransientErrorSocket
 
 from function_router.net.sockets import Unread, address_family, begin_connect, has_peer_closed, peek
 
@@ -68,12 +68,12 @@
 def test_failed_peek_is_the_end_unless_the_error_may_pass(open_socket, error_number, unread):
     sock, _ = open_socket()
 
-    assert peek(FailingAtFirstSocket(sock, error_number)) is unread
+    assert peek(TransientErrorSocket(sock, error_number)) is unread
 
 
-def test_connecting_socket_is_non_blocking(listener, cleanups):
+def test_connecting_socket_is_non_blocking(listener, exit_stack):
     sock = begin_connect(listener.getsockname())
-    cleanups.callback(sock.close)
+    exit_stack.callback(sock.close)
 
     assert not sock.getblocking()
     assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/net/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -76,7 +76,7 @@
 
 
 def test_incomplete_frame_times_out_its_connection(harness, worker, results):
-    harness.run_attempt(worker, results)
+    harness.deliver_attempt(worker, results)
     peer, request = worker.requests[0]
     answer = worker_frames.encode(0, request.exchange_id, body=b"x" * 50, direction=worker_frames.FROM_WORKER)
 
@@ -88,7 +88,7 @@
 
 def test_duplicate_answer_does_not_end_a_retry(harness, pool, worker, results):
     with mock.patch.object(connection_set, "CONNECTIONS_BEFORE_SHARING", 1):
-        harness.run_attempt(worker, results)
+        harness.deliver_attempt(worker, results)
         worker.answer(worker.requests[0], QUEUE_FULL, "")
         harness.run_until(lambda: results, "the worker's queue is full")
         pool.send(attempt(worker.worker_id, results))
@@ -141,8 +141,8 @@
 
 
 def test_time_left_is_stated_as_of_the_first_byte(harness, pool, worker, results):
-    harness.run_attempt(worker, results)
-    late = attempt(worker.worker_id, results, exchange_id=b"abcdefgh", within_ms=5_000.0)
+    harness.deliver_attempt(worker, results)
+    late = attempt(worker.worker_id, results, exchange_id=b"abcdefgh", timeout_ms=5_000.0)
     with mock.patch.object(connection_set, "CONNECTIONS_BEFORE_SHARING", 1):
         pool.send(late)
     connection = late.holder.connection
--- a/tests/net/test_worker_pool.py
+++ b/tests/net/test_worker_pool.py
@@ -32,7 +32,7 @@
 
 def test_workers_at_an_address_are_those_that_are_not_removed(harness, pool, worker, results):
     worker_id = worker.worker_id
-    harness.run_attempt(worker, results)  # which keeps the removed worker in the pool
+    harness.deliver_attempt(worker, results)  # which keeps the removed worker in the pool
     pool.update_endpoint(UNLISTED_WORKER_ID, worker.address, WorkerState.DRAINING, 0.0)
     assert pool.workers_at(worker.address) == [worker_id, UNLISTED_WORKER_ID]
 
@@ -44,7 +44,7 @@
 
 def test_removed_worker_is_forgotten_once_its_last_exchange_is_finished(harness, pool, worker, results):
     worker_id = worker.worker_id
-    harness.run_attempt(worker, results)
+    harness.deliver_attempt(worker, results)
 
     pool.update_endpoint(worker_id, None, WorkerState.REMOVED, 0.0)
 
@@ -78,7 +78,7 @@
 
 
 def test_attempt_past_its_deadline_is_not_sent(pool, worker, results):
-    late = attempt(worker.worker_id, results, within_ms=-1.0)
+    late = attempt(worker.worker_id, results, timeout_ms=-1.0)
 
     pool.send(late)
 
@@ -124,7 +124,7 @@
     )
     pool.update_endpoint(UNLISTED_WORKER_ID, unreachable_address(), WorkerState.READY, 0.0)
 
-    pool.send(attempt(worker_id, results, within_ms=500.0))
+    pool.send(attempt(worker_id, results, timeout_ms=500.0))
     harness.run_until(lambda: results, "the attempt ends")
     pool.ensure_instances(start_order(worker_id, results))
     harness.run_until(lambda: len(results) == 2, "the order ends")
--- a/tests/soak_test/test_endpoint_log.py
+++ b/tests/soak_test/test_endpoint_log.py
@@ -65,13 +65,13 @@
 
 
 @pytest.fixture
-def with_log(cleanups):
+def with_log(exit_stack):
     """Run a coroutine function with a log that listens and has two events."""
 
     def run(use):
         async def run_in_loop():
             ports = PortRange(PORTS)
-            cleanups.callback(ports.close)
+            exit_stack.callback(ports.close)
             events = [event(1), event(2)]
             server = EndpointLogServer(events, lambda each: each.to_wire(WORKER_PORTS), ports)
             harness = LogHarness(server, events)
--- a/tests/soak_test/test_ports.py
+++ b/tests/soak_test/test_ports.py
@@ -17,12 +17,12 @@
 
 
 @pytest.fixture
-def make_range(cleanups, free_port):
+def make_range(exit_stack, free_port):
     """Make port ranges over the one free port; all are closed at the end."""
 
     def make():
         ports = PortRange(range(free_port, free_port + 1))
-        cleanups.callback(ports.close)
+        exit_stack.callback(ports.close)
         return ports
 
     return make
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 )
 from function_router.errors import FunctionRouterError
 
-VALID = {"listen": "127.0.0.1:0", "changelog": "127.0.0.1:9", "seed": "8c1f", "settings": SETTINGS}
+VALID_CONFIG = {"listen": "127.0.0.1:0", "changelog": "127.0.0.1:9", "seed": "8c1f", "settings": SETTINGS}
 
 
 def with_settings(**change):
@@ -21,7 +21,7 @@
 
 
 def test_absent_and_null_keys_have_their_defaults():
-    config = parse_config(VALID | {"name": None}, {})
+    config = parse_config(VALID_CONFIG | {"name": None}, {})
 
     assert (config.listen, config.name, config.seed) == (("127.0.0.1", 0), "", 0x8C1F)
     assert (config.memory_mb, config.max_sockets, config.initial_sequence) == (192, 1024, 0)
@@ -31,7 +31,7 @@
 def test_environment_takes_precedence_over_listen_and_name():
     environment = {"ROUTER_LISTEN": "127.0.0.9:41", "ROUTER_NAME": "n3"}
 
-    config = parse_config(VALID | {"name": None}, environment)
+    config = parse_config(VALID_CONFIG | {"name": None}, environment)
 
     assert (config.listen, config.name, config.seed) == (("127.0.0.9", 41), "n3", 0x8C1F)
 
@@ -58,7 +58,7 @@
 )
 def test_invalid_value_is_reported_with_its_key(key, change):
     with pytest.raises(ConfigurationError) as caught:
-        parse_config(VALID | change, {})
+        parse_config(VALID_CONFIG | change, {})
 
     assert caught.value.key == key
     assert str(caught.value) == f"{key}: {caught.value.problem}"
@@ -75,7 +75,7 @@
 )
 def test_value_out_of_range_is_reported_with_the_allowed_range(change, allowed_range):
     with pytest.raises(ConfigurationError) as caught:
-        parse_config(VALID | change, {})
+        parse_config(VALID_CONFIG | change, {})
 
     assert allowed_range in caught.value.problem
 
@@ -107,11 +107,11 @@
         ("[::1]:41", ("::1", 41)),
     ],
 )
-def test_numeric_address_and_port_are_read(text, address):
+def test_numeric_address_and_port_are_parsed(text, address):
     assert parse_address(text, "listen") == address
 
 
-def test_settings_are_translated_from_the_names_of_the_pages():
+def test_settings_are_converted_to_the_names_of_the_program():
     settings = parse_settings(
         {
             "bounds": {"retry_after": False, "max_retry_after": 500.0, "unknown": 1},
@@ -128,6 +128,6 @@
     assert settings.worker_sizes_known
 
 
-def test_error_of_the_configuration_is_one_of_the_package_and_a_value_error():
+def test_configuration_error_is_a_function_router_error_and_a_value_error():
     assert issubclass(ConfigurationError, FunctionRouterError)
     assert issubclass(ConfigurationError, ValueError)
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -60,7 +60,7 @@
     (root / ".venv" / "bin" / "python").unlink()
 
 
-def test_build_replaces_a_half_made_environment_and_keeps_a_good_one(build):
+def test_build_replaces_an_incomplete_environment_and_keeps_a_complete_one(build):
     assert build() == "1\n"
     assert build() == "1\n"
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -8,8 +8,8 @@
 import pytest
 from helpers.repository import ROOT, TESTS
 
-RED_LINE = "tests/test_one.py::test_red, the cause, in short, 5\n"
-GOOD_LINE = "tests/test_one.py::test_good, the cause, in short, 5\n"
+FAILING_TEST_LINE = "tests/test_one.py::test_red, the cause, in short, 5\n"
+PASSING_TEST_LINE = "tests/test_one.py::test_good, the cause, in short, 5\n"
 
 
 @pytest.fixture
@@ -39,21 +39,21 @@
     ("known_red", "status"),
     [
         pytest.param("", pytest.ExitCode.TESTS_FAILED, id="failing test not listed"),
-        pytest.param(RED_LINE, pytest.ExitCode.OK, id="failing test listed"),
-        pytest.param(GOOD_LINE, pytest.ExitCode.TESTS_FAILED, id="passing test listed"),
-        pytest.param(RED_LINE + GOOD_LINE, pytest.ExitCode.TESTS_FAILED, id="both listed"),
-        pytest.param(4 * RED_LINE, pytest.ExitCode.USAGE_ERROR, id="too many lines"),
+        pytest.param(FAILING_TEST_LINE, pytest.ExitCode.OK, id="failing test listed"),
+        pytest.param(PASSING_TEST_LINE, pytest.ExitCode.TESTS_FAILED, id="passing test listed"),
+        pytest.param(FAILING_TEST_LINE + PASSING_TEST_LINE, pytest.ExitCode.TESTS_FAILED, id="both listed"),
+        pytest.param(4 * FAILING_TEST_LINE, pytest.ExitCode.USAGE_ERROR, id="too many lines"),
         pytest.param("tests/no, x, 5", pytest.ExitCode.USAGE_ERROR, id="no such test"),
     ],
 )
-def test_only_what_known_red_names_may_fail_and_it_must(run_pytest_with_known_red, known_red, status):
+def test_listed_tests_must_fail_and_all_others_must_pass(run_pytest_with_known_red, known_red, status):
     run = run_pytest_with_known_red(known_red)
 
     assert run.returncode == status, run.stdout + run.stderr
 
 
 def test_cause_of_a_known_failure_is_printed(run_pytest_with_known_red):
-    run = run_pytest_with_known_red(RED_LINE)
+    run = run_pytest_with_known_red(FAILING_TEST_LINE)
 
     assert run.returncode == pytest.ExitCode.OK
     assert "the cause, in short (issue 5)" in run.stdout
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize(
     ("known_red", "message"),
     [
-        pytest.param(4 * RED_LINE, "at most 3 lines of test, cause, issue", id="too many lines"),
+        pytest.param(4 * FAILING_TEST_LINE, "at most 3 lines of test, cause, issue", id="too many lines"),
         pytest.param("tests/test_one.py::test_red\n", "at most 3 lines of test, cause, issue", id="no cause"),
         pytest.param("tests/no, x, 5", "names no test: tests/no", id="no such test"),
     ],
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,12 +19,12 @@
 
 
 @pytest.fixture
-def connect(cleanups):
+def connect(exit_stack):
     """Connect clients to an address; closed at the end."""
 
     def connect_client(address):
         client = FakeClient(address)
-        cleanups.callback(client.sock.close)
+        exit_stack.callback(client.sock.close)
         return client
 
     return connect_client
@@ -48,46 +48,46 @@
     os.close(pipe)
 
 
-def assert_served_from_sequence_1_until_sigterm(programs, program):
+def assert_served_from_sequence_1_until_sigterm(launcher, program):
     """The program requests the events after the first from the last log, and SIGTERM ends it."""
-    while not programs.endpoint_log.requests():
-        programs.endpoint_log.receive()
-    assert programs.endpoint_log.requests() == [["since", "1"]]
+    while not launcher.endpoint_log.requests():
+        launcher.endpoint_log.receive()
+    assert launcher.endpoint_log.requests() == [["since", "1"]]
     program.send_signal(signal.SIGTERM)
     assert program.wait(EXIT_TIMEOUT_S) == 0
 
 
-def test_sigterm_admits_late_arrivals_answers_all_and_exits_0(worker, connect, programs):
-    program = programs.launch(programs.make_config(worker.record()))
+def test_sigterm_admits_late_arrivals_answers_all_and_exits_0(worker, connect, launcher):
+    program = launcher.launch(launcher.make_config(worker.record()))
     address = served_address(program)
     client = connect(address)
     client.request_status()
-    programs.receive_until(client, lambda: client.answers, worker)
+    launcher.receive_until(client, lambda: client.answers, worker)
     assert client.answers[0][1:] == ("answer", {1: b"", 2: {}, 3: True})
     client.send_request()
-    programs.receive_until(client, lambda: worker.requests, worker)
+    launcher.receive_until(client, lambda: worker.requests, worker)
 
     program.send_signal(signal.SIGTERM)
     drain_line = program.stderr.readline()
     late_client = connect(address)
     late_client.send_request(call="ff" * 8)
     worker.answer(worker.requests[0], body=b"one")
-    programs.receive_until(late_client, lambda: len(worker.requests) == 2, worker)
+    launcher.receive_until(late_client, lambda: len(worker.requests) == 2, worker)
     worker.answer(worker.requests[1], body=b"two")
-    programs.receive_until(late_client, lambda: late_client.answers, worker)
-    programs.receive_until(client, lambda: 1 in client.answer_kinds(), worker)
+    launcher.receive_until(late_client, lambda: late_client.answers, worker)
+    launcher.receive_until(client, lambda: 1 in client.answer_kinds(), worker)
 
     assert "draining" in drain_line
     assert (client.answer_kinds()[1], late_client.answer_kinds()) == ("answer", {1: "answer"})
     assert program.wait(EXIT_TIMEOUT_S) == 0
 
 
-def test_sighup_before_the_program_is_ready_is_a_reload_that_moves_the_endpoint_log(programs, tmp_path):
+def test_sighup_during_startup_causes_a_reload_that_moves_the_endpoint_log(launcher, tmp_path):
     path = tmp_path / "pipe"
     os.mkfifo(path)
-    first = programs.make_config()
-    second = programs.make_config()
-    program = programs.launch(first, "serve", "--config", str(path))
+    first = launcher.make_config()
+    second = launcher.make_config()
+    program = launcher.launch(first, "serve", "--config", str(path))
 
     pipe = os.open(path, os.O_WRONLY)  # returns once the program reads its configuration
     program.send_signal(signal.SIGHUP)
@@ -97,7 +97,7 @@
     write_to_pipe(path, msgspec.json.encode(second))
 
     assert "configuration reloaded" in program.stderr.readline()
-    assert_served_from_sequence_1_until_sigterm(programs, program)
+    assert_served_from_sequence_1_until_sigterm(launcher, program)
 
 
 @pytest.mark.parametrize(
@@ -110,11 +110,11 @@
     ],
     ids=["not JSON", "nested too deeply", "key missing", "value invalid"],
 )
-def test_reload_of_an_invalid_file_changes_nothing(key, make_content, programs, tmp_path):
+def test_reload_of_an_invalid_file_changes_nothing(key, make_content, launcher, tmp_path):
     path = tmp_path / "pipe"
     os.mkfifo(path)
-    config = programs.make_config()
-    program = programs.launch(config, "serve", "--config", str(path))
+    config = launcher.make_config()
+    program = launcher.launch(config, "serve", "--config", str(path))
     write_to_pipe(path, msgspec.json.encode(config))
     assert "serving" in program.stderr.readline()
 
@@ -124,7 +124,7 @@
 
     assert "configuration not reloaded" in line
     assert key in line
-    assert_served_from_sequence_1_until_sigterm(programs, program)
+    assert_served_from_sequence_1_until_sigterm(launcher, program)
 
 
 @pytest.mark.parametrize(
@@ -137,8 +137,8 @@
     ],
     ids=["version", "check-config", "unknown command", "no such file"],
 )
-def test_command_exits_with_its_status_and_text(arguments, status, text, programs):
-    program = programs.launch(programs.make_config(), *arguments)
+def test_command_exits_with_its_status_and_text(arguments, status, text, launcher):
+    program = launcher.launch(launcher.make_config(), *arguments)
 
     output, errors = program.communicate(timeout=EXIT_TIMEOUT_S)
 
@@ -155,9 +155,9 @@
     assert output == "False False\n"
 
 
-def test_listen_address_in_use_is_reported(programs):
+def test_listen_address_in_use_is_reported(launcher):
     with socket.create_server(("127.0.0.1", 0)) as other:
-        program = programs.launch(programs.make_config(listen=f"127.0.0.1:{other.getsockname()[1]}"))
+        program = launcher.launch(launcher.make_config(listen=f"127.0.0.1:{other.getsockname()[1]}"))
 
         _, errors = program.communicate(timeout=EXIT_TIMEOUT_S)
 
@@ -173,8 +173,8 @@
         ("known.results", {"known": {"seq": 1, "results": [{"seq": 1, "fleet": 5}]}}),
     ],
 )
-def test_invalid_configuration_ends_the_program_with_the_name_of_the_key(key, change, programs):
-    program = programs.launch(programs.make_config(**change))
+def test_invalid_configuration_ends_the_program_with_the_name_of_the_key(key, change, launcher):
+    program = launcher.launch(launcher.make_config(**change))
 
     _, errors = program.communicate(timeout=EXIT_TIMEOUT_S)
 
@@ -183,30 +183,30 @@
     assert "Traceback" not in errors
 
 
-def test_idle_clients_that_fill_the_sockets_without_an_endpoint_log_keep_nobody_out(
-    worker, connect, programs
+def test_idle_clients_at_the_socket_limit_block_neither_new_clients_nor_the_endpoint_log(
+    worker, connect, launcher
 ):
-    program = programs.launch(programs.make_config(limits={"sockets": 64}))
+    program = launcher.launch(launcher.make_config(limits={"sockets": 64}))
     address = served_address(program)
     resource.prlimit(program.pid, resource.RLIMIT_NOFILE, (64, 64))
     clients = [connect(address)]
-    programs.receive_until(clients[0], programs.endpoint_log.requests, programs.endpoint_log)
-    _, log_port = programs.endpoint_log.address
-    programs.endpoint_log.close()
+    launcher.receive_until(clients[0], launcher.endpoint_log.requests, launcher.endpoint_log)
+    _, log_port = launcher.endpoint_log.address
+    launcher.endpoint_log.close()
     for number in range(80):
         client = connect(address)
         clients.append(client)
         if number % 2:  # it has a status answered and stays connected
             client.request_status()
-            programs.receive_until(client, lambda client=client: client.answers)
+            launcher.receive_until(client, lambda client=client: client.answers)
 
-    programs.open_endpoint_log(log_port)
-    programs.receive_until(clients[-1], programs.endpoint_log.requests, programs.endpoint_log)
-    programs.endpoint_log.send_line(endpoint_event(2, worker.record()))
+    launcher.open_endpoint_log(log_port)
+    launcher.receive_until(clients[-1], launcher.endpoint_log.requests, launcher.endpoint_log)
+    launcher.endpoint_log.send_line(endpoint_event(2, worker.record()))
     new_client = connect(address)
     new_client.send_request()
-    programs.receive_until(new_client, lambda: worker.requests, worker, programs.endpoint_log)
+    launcher.receive_until(new_client, lambda: worker.requests, worker, launcher.endpoint_log)
     worker.answer(worker.requests[0], body=b"served")
-    programs.receive_until(new_client, lambda: new_client.answers)
+    launcher.receive_until(new_client, lambda: new_client.answers)
 
     assert new_client.answers[0][1:] == ("answer", {1: b"served", 2: {}, 3: True})
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -13,51 +13,51 @@
 from function_router import server
 
 
-class FailingAtFirst:
+class TransientErrorFunction:
     """Calls a function, but fails the first times with these error numbers."""
 
     def __init__(self, function, *error_numbers):
         self._function = function
-        self._left = list(error_numbers)
+        self._remaining_errors = list(error_numbers)
 
     def __call__(self, *arguments, **options):
         """Fail while there is a failure left."""
-        if self._left:
-            raise OSError(self._left.pop(0), "for a moment")
+        if self._remaining_errors:
+            raise OSError(self._remaining_errors.pop(0), "for a moment")
         return self._function(*arguments, **options)
 
 
 @pytest.fixture
-def config_path(cleanups, tmp_path):
+def config_path(exit_stack, tmp_path):
     """A valid configuration file."""
     endpoint_log = FakeEndpointLog()
-    cleanups.callback(endpoint_log.close)
+    exit_stack.callback(endpoint_log.close)
     path = tmp_path / "config.json"
     path.write_bytes(msgspec.json.encode(router_config(endpoint_log)))
     return path
 
 
-def test_start_survives_temporary_failures_of_system_calls(config_path, cleanups):
-    fail_sockets = FailingAtFirst(socket.socket, errno.ENOBUFS, errno.ENFILE, errno.ENOMEM)
-    fail_reads = FailingAtFirst(Path.read_bytes, errno.ENFILE, errno.EMFILE)
+def test_startup_retries_transient_errors_of_system_calls(config_path, exit_stack):
+    fail_sockets = TransientErrorFunction(socket.socket, errno.ENOBUFS, errno.ENFILE, errno.ENOMEM)
+    fail_reads = TransientErrorFunction(Path.read_bytes, errno.ENFILE, errno.EMFILE)
 
     with (
         mock.patch("socket.socket", fail_sockets),
         mock.patch.object(Path, "read_bytes", side_effect=fail_reads, autospec=True),
     ):
         router = server._create_router(str(config_path))
-    cleanups.callback(router.close)
+    exit_stack.callback(router.close)
 
     assert router.address[0] == "127.0.0.1"
 
 
-def test_reload_survives_temporary_failures_to_read_the_file(config_path, cleanups):
+def test_reload_retries_transient_errors_of_reading_the_file(config_path, exit_stack):
     router = server._create_router(str(config_path))
-    cleanups.callback(router.close)
+    exit_stack.callback(router.close)
     moved = FakeEndpointLog()
-    cleanups.callback(moved.close)
+    exit_stack.callback(moved.close)
     config_path.write_bytes(msgspec.json.encode(router_config(moved)))
-    fail_reads = FailingAtFirst(Path.read_bytes, errno.ENFILE, errno.EMFILE)
+    fail_reads = TransientErrorFunction(Path.read_bytes, errno.ENFILE, errno.EMFILE)
 
     with mock.patch.object(Path, "read_bytes", side_effect=fail_reads, autospec=True):
         router.reload.run()
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -64,7 +64,7 @@
     return [json.loads(line) for line in process.stdout.splitlines()], process.stderr
 
 
-def short_day(*router_ids):
+def traffic_batches(*router_ids):
     """Lines with requests for many functions at each of the routers."""
     lines = [batch(100.0, *((router_id, router_start()) for router_id in router_ids))]
     for number in range(30):
@@ -90,7 +90,7 @@
     assert replies == [{"ends": []}]
 
 
-def test_request_is_probed_sent_and_closed():
+def test_request_is_sent_after_a_probe_and_not_sent_again_after_its_answer():
     lines = [batch(100.0, (3, [*router_start(), request("t/x")]))]
 
     first_messages = messages_of(run_adapter(*lines)[0], 3)[0]
@@ -116,21 +116,21 @@
 
 
 def test_actions_do_not_depend_on_the_hash_seed():
-    first, _ = run_adapter(*short_day(0), hash_seed="1")
-    second, _ = run_adapter(*short_day(0), hash_seed="2")
+    first, _ = run_adapter(*traffic_batches(0), hash_seed="1")
+    second, _ = run_adapter(*traffic_batches(0), hash_seed="2")
 
     assert first == second
     assert sum(len(messages) for messages in messages_of(first, 0)) > 30
 
 
-def test_actions_do_not_depend_on_what_else_the_process_hosts():
-    alone, _ = run_adapter(*short_day(1))
-    shared, _ = run_adapter(*short_day(0, 1, 2))
+def test_actions_do_not_depend_on_other_routers_in_the_process():
+    alone, _ = run_adapter(*traffic_batches(1))
+    shared, _ = run_adapter(*traffic_batches(0, 1, 2))
 
     assert messages_of(alone, 1) == messages_of(shared, 1)
 
 
-def test_unusual_but_legal_input_is_no_error():
+def test_unusual_but_valid_messages_cause_no_exception():
     unusual = [
         {"TARGETS": {"kind": 3, "serial": 0, "entries": None}},
         {"TARGETS": {"kind": 1, "serial": 2, "entries": []}},
@@ -183,7 +183,7 @@
     assert len(errors.splitlines()) == 1
 
 
-def test_exception_in_the_decisions_is_reported_with_type_and_place():
+def test_exception_in_the_decision_module_is_reported_with_type_and_line():
     faulty = {"NEW_REQUEST": {"tid": "t/x", "service": "score", "fn": "fn:a", "time_budget": "soon"}}
 
     replies, _ = run_adapter(batch(1.0, (0, [*router_start(), faulty])))
@@ -342,7 +342,7 @@
     assert {type(event) for _, event in READ_EVENTS} == set(get_args(events.Event)) - events_of_the_network
 
 
-def test_unavailable_endpoint_list_is_no_event():
+def test_unavailable_endpoint_list_causes_no_event():
     router = RecordingRouter()
 
     adapter_with(router).answer(batch(1.0, (3, [{"TARGETS": {"kind": 3, "entries": None}}])))
--- a/tests/test_stale_endpoint_list.py
+++ b/tests/test_stale_endpoint_list.py
@@ -24,12 +24,12 @@
 
 FUNCTIONS = [f"{number:016x}" for number in range(8)]
 REQUEST_INTERVAL_S = 0.02
-BEFORE_S = 1.5  # of traffic until the log fails
+BASELINE_S = 1.5  # of traffic until the log fails
 OUTAGE_S = 7.0  # from the drain on
-DRAIN_AFTER_S = 0.5  # after the log has failed
+DRAIN_DELAY_S = 0.5  # after the log has failed
 MAX_LOST_SHARE = 0.05  # by which less may be served in the outage than before it
 POLL_S = 0.001
-LAST_ANSWERS_S = 0.5
+ANSWER_WAIT_S = 0.5
 MAX_CHECKS_PER_S = 1.5  # of one worker
 TIMEOUT_MS = "400"
 
@@ -37,12 +37,12 @@
 class Cluster:
     """A router process, its endpoint log, two workers and a client, whose requests arrive at a fixed rate."""
 
-    def __init__(self, programs, cleanups, log_fault=None, **settings):
+    def __init__(self, launcher, exit_stack, log_fault=None, **settings):
         """Start the router.
 
         Args:
-            programs: Starts it.
-            cleanups: The fixture of that name.
+            launcher: Starts it.
+            exit_stack: The fixture of that name.
             log_fault: How its endpoint log fails from the start.
             settings: Sections of the settings that are replaced; the grace stays.
         """
@@ -50,30 +50,30 @@
         self.endpoint_log = FaultyEndpointLog()
         self.endpoint_log.fault = log_fault
         for peer in (self.endpoint_log, *self.workers):
-            cleanups.callback(peer.close)
-        config = programs.make_config(*(worker.record() for worker in self.workers))
+            exit_stack.callback(peer.close)
+        config = launcher.make_config(*(worker.record() for worker in self.workers))
         settings["invariants"] = {"drain_grace": DRAIN_GRACE_MS, **settings.get("invariants", {})}
         config["settings"] = SETTINGS | settings
         config["changelog"] = self.endpoint_log.host_port
-        self._programs = programs
+        self._launcher = launcher
         self._config = config
-        self.program = programs.launch(config)
+        self.program = launcher.launch(config)
         host, port = self.program.stderr.readline().rsplit(" ", 1)[1].strip().split(":")
         self.client = FakeClient((host, int(port)))
-        cleanups.callback(self.client.close)
+        exit_stack.callback(self.client.close)
         self.sent_at_s = {}  # by sequence number
 
     def reload(self, **changes):
         """Change the configuration file, and have the router read it again."""
-        self._programs.rewrite(self._config | changes)
+        self._launcher.rewrite_config(self._config | changes)
         self.program.send_signal(signal.SIGHUP)
 
-    def run(self, seconds, *, sends=True):
+    def run(self, seconds, *, sends_requests=True):
         """Serve all peers for a while, with the client's requests unless it pauses."""
         end_s = time.monotonic() + seconds
         next_request_s = time.monotonic()
         while (now_s := time.monotonic()) < end_s:
-            if sends and now_s >= next_request_s:
+            if sends_requests and now_s >= next_request_s:
                 next_request_s += REQUEST_INTERVAL_S
                 self._send_request(now_s)
             for peer in (self.endpoint_log, *self.workers, self.client):
@@ -92,9 +92,9 @@
 
 
 @pytest.fixture
-def make_cluster(programs, cleanups):
+def make_cluster(launcher, exit_stack):
     """Make a cluster whose client has sent nothing yet; the arguments are those of `Cluster`."""
-    return lambda **options: Cluster(programs, cleanups, **options)
+    return lambda **options: Cluster(launcher, exit_stack, **options)
 
 
 @pytest.fixture
@@ -113,19 +113,19 @@
         pytest.param(LogFailure.IS_BEHIND, NOTIFIED_AFTER_SILENCE_S, id="behind"),
     ],
 )
-def test_worker_that_drains_while_the_log_is_out_of_reach_gets_no_new_work(cluster, fault, notified_after_s):
+def test_worker_that_drains_during_a_log_outage_gets_no_new_work(cluster, fault, notified_after_s):
     [draining, _] = cluster.workers
     started_s = time.monotonic()
-    cluster.run(BEFORE_S)
+    cluster.run(BASELINE_S)
 
     failed_s = time.monotonic()
     cluster.endpoint_log.fail(fault)
-    cluster.run(DRAIN_AFTER_S)
+    cluster.run(DRAIN_DELAY_S)
     drained_s = time.monotonic()
     draining.is_draining = True
     cluster.run(OUTAGE_S)
     outage_ended_s = time.monotonic()
-    cluster.run(LAST_ANSWERS_S, sends=False)
+    cluster.run(ANSWER_WAIT_S, sends_requests=False)
 
     notified_s = max(drained_s, failed_s + notified_after_s)
     late_work = draining.new_work_after(notified_s + GRACE_S)
@@ -140,8 +140,8 @@
 
 SLOW_START = {"cold": 20_000.0, "cold_share": 0.1, "fall": 1_000.0, "fall_multiple": 1.5}
 STALE_AFTER_S = 2.5  # after the log has failed
-DRAIN_S = 1.0
-DOWN_S = 0.3
+DRAIN_DURATION_S = 1.0
+DOWNTIME_S = 0.3
 
 
 def slow_start_limit(usual_rate):
@@ -150,19 +150,19 @@
     return budget + 3 * math.sqrt(budget) + 3
 
 
-def test_worker_that_restarts_while_the_log_is_out_of_reach_is_in_slow_start(make_cluster):
+def test_worker_that_restarts_during_a_log_outage_is_in_slow_start(make_cluster):
     cluster = make_cluster(invariants=SLOW_START)
     [restarted, other] = cluster.workers
-    cluster.run(BEFORE_S)
-    usual_rate = (len(restarted.new_work) + len(other.new_work)) / 2 / BEFORE_S
+    cluster.run(BASELINE_S)
+    usual_rate = (len(restarted.new_work) + len(other.new_work)) / 2 / BASELINE_S
 
     cluster.endpoint_log.fail(LogFailure.REFUSES)
     cluster.run(STALE_AFTER_S)
     restarted.is_draining = True
-    cluster.run(DRAIN_S)
+    cluster.run(DRAIN_DURATION_S)
     restarted.stop()
-    cluster.run(DOWN_S)
-    restarted.start_again()
+    cluster.run(DOWNTIME_S)
+    restarted.restart()
     other.is_draining = True  # so that all requests need the one that has restarted
     started_s = time.monotonic()
     cluster.run(OUTAGE_S)
@@ -176,10 +176,10 @@
 # --- other ways in and out of an outage
 
 
-def test_router_that_starts_while_the_log_is_out_of_reach_keeps_to_the_grace_too(make_cluster):
+def test_router_that_starts_during_a_log_outage_respects_the_drain_grace(make_cluster):
     cluster = make_cluster(log_fault=LogFailure.IS_SILENT)
     [draining, _] = cluster.workers
-    cluster.run(DRAIN_AFTER_S)
+    cluster.run(DRAIN_DELAY_S)
     drained_s = time.monotonic()
     draining.is_draining = True
 
@@ -187,28 +187,28 @@
 
     assert draining.new_work_after(drained_s + NOTIFIED_AFTER_SILENCE_S + GRACE_S) == []
     since_s = drained_s + NOTIFIED_AFTER_SILENCE_S
-    assert cluster.served_share(since_s, time.monotonic() - LAST_ANSWERS_S) > 1 - MAX_LOST_SHARE
+    assert cluster.served_share(since_s, time.monotonic() - ANSWER_WAIT_S) > 1 - MAX_LOST_SHARE
 
 
-def test_events_that_come_in_a_burst_at_the_end_do_not_undo_what_workers_said(make_cluster):
+def test_events_received_after_an_outage_do_not_override_newer_health_check_answers(make_cluster):
     cluster = make_cluster()
     [draining, _] = cluster.workers
-    cluster.run(BEFORE_S)
+    cluster.run(BASELINE_S)
     cluster.endpoint_log.fail(LogFailure.IS_SILENT)
     cluster.run(STALE_AFTER_S + NOTIFIED_AFTER_SILENCE_S)
     draining.is_draining = True
     drained_s = time.monotonic()
     cluster.run(2 * GRACE_S)
 
-    cluster.endpoint_log.work_again(endpoint_event(2, draining.record()))
+    cluster.endpoint_log.recover(endpoint_event(2, draining.record()))
     cluster.run(2 * GRACE_S)
 
     assert draining.new_work_after(drained_s + GRACE_S) == []
 
 
-def test_every_worker_draining_gets_no_new_work_and_requests_are_rejected_with_advice(make_cluster):
+def test_draining_workers_get_no_new_work_and_requests_are_rejected_with_a_retry_delay(make_cluster):
     cluster = make_cluster(bounds={**SETTINGS["bounds"], "retry_after": True, "max_retry_after": 900.0})
-    cluster.run(BEFORE_S)
+    cluster.run(BASELINE_S)
     cluster.endpoint_log.fail(LogFailure.REFUSES)
     cluster.run(STALE_AFTER_S)
     drained_s = time.monotonic()
@@ -216,7 +216,7 @@
         worker.is_draining = True
 
     cluster.run(3 * GRACE_S)
-    cluster.run(LAST_ANSWERS_S, sends=False)
+    cluster.run(ANSWER_WAIT_S, sends_requests=False)
 
     assert [worker.new_work_after(drained_s + GRACE_S) for worker in cluster.workers] == [[], []]
     late = cluster.client.answers[-50:]
@@ -225,30 +225,30 @@
     assert set(cluster.client.answer_kinds()) == set(cluster.sent_at_s)
 
 
-def test_worker_that_is_cut_off_costs_no_requests_while_another_answers(make_cluster):
+def test_requests_are_served_while_a_worker_is_unresponsive_during_a_log_outage(make_cluster):
     cluster = make_cluster()
-    [cut_off, _] = cluster.workers
-    cluster.run(BEFORE_S)
+    [unresponsive, _] = cluster.workers
+    cluster.run(BASELINE_S)
     cluster.endpoint_log.fail(LogFailure.REFUSES)
     cluster.run(STALE_AFTER_S)
-    cut_off.is_cut_off = True
-    cut_off_s = time.monotonic()
+    unresponsive.is_unresponsive = True
+    unresponsive_since_s = time.monotonic()
 
     cluster.run(3 * GRACE_S)
     ended_s = time.monotonic()
-    cluster.run(LAST_ANSWERS_S, sends=False)
+    cluster.run(ANSWER_WAIT_S, sends_requests=False)
 
-    assert cluster.served_share(cut_off_s + GRACE_S, ended_s) > 1 - MAX_LOST_SHARE
+    assert cluster.served_share(unresponsive_since_s + GRACE_S, ended_s) > 1 - MAX_LOST_SHARE
 
 
-def test_sighup_to_an_address_that_is_dead_keeps_to_the_grace(make_cluster, unreachable_address):
+def test_reload_to_an_unreachable_endpoint_log_respects_the_drain_grace(make_cluster, unreachable_address):
     cluster = make_cluster()
     [draining, _] = cluster.workers
-    cluster.run(BEFORE_S)
+    cluster.run(BASELINE_S)
     host, port = unreachable_address()
     cluster.reload(changelog=f"{host}:{port}")
     moved_s = time.monotonic()
-    cluster.run(DRAIN_AFTER_S)
+    cluster.run(DRAIN_DELAY_S)
     draining.is_draining = True
 
     cluster.run(NOTIFIED_AFTER_SILENCE_S + 2 * GRACE_S)
@@ -259,9 +259,9 @@
 # --- what it costs
 
 
-def test_workers_are_asked_about_once_a_second_and_only_in_an_outage(make_cluster):
+def test_health_checks_are_sent_about_once_a_second_and_only_during_an_outage(make_cluster):
     cluster = make_cluster()
-    cluster.run(BEFORE_S)
+    cluster.run(BASELINE_S)
     asked_before = sum(len(worker.health_checks) for worker in cluster.workers)
     connections_before = [len(worker.connections) for worker in cluster.workers]
 
