--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Creates .venv in the root of the repository. An existing one is kept only if it was completed for exactly
-# these requirements and its interpreter runs; one that is incomplete, moved or out of date is replaced.
+# Creates the virtual environment .venv in the root of the repository. Keeps an existing one only if its
+# installation was completed with the current requirements.txt and its interpreter runs. Replaces one that is
+# incomplete, was moved or is out of date.
 set -eu
 cd "$(dirname "$0")/.."
 stamp=.venv/requirements.txt
@@ -10,4 +11,4 @@
     .venv/bin/pip -q install -r requirements.txt
     cp requirements.txt "$stamp"
 fi
-.venv/bin/python -m compileall -q function_router || true   # optional: fails where the checkout is read-only
+.venv/bin/python -m compileall -q function_router || true   # optional: fails if the checkout is read-only
--- a/function_router/__init__.py
+++ b/function_router/__init__.py
@@ -1,4 +1,4 @@
-"""function_router: routes requests to workers that start instances of functions on demand."""
+"""A router that sends requests to workers, which start instances of functions on demand."""
 
 from function_router.decisions.router import Router
 
--- a/function_router/__main__.py
+++ b/function_router/__main__.py
@@ -1,22 +1,27 @@
-"""The program: ``python -m function_router``."""
+"""Entry point of ``python -m function_router``."""
 
 import signal
 import sys
 
 
 def main() -> int:
-    """Run the command line; `serve` without options is run directly."""
+    """Run the command line interface; `serve` without options bypasses it.
+
+    Returns:
+        The exit status.
+    """
     if sys.argv[1:] == ["serve"]:
-        # SIGHUP, which requests a reload, kills a process that has no handler yet: block it before the rest.
+        # SIGHUP requests a reload, but terminates a process that has no handler for it yet. Block it before
+        # any slow import.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-        # The command-line library takes longer to import than everything else, and serving does not need it:
-        # without it, the router is ready sooner after a restart.
-        from function_router.server import serve  # noqa: PLC0415 (imported once SIGHUP is blocked)
+        # Importing the command-line library takes longer than everything else, and serving does not need it.
+        # Without that import, the router is ready sooner after a restart.
+        from function_router.server import serve  # noqa: PLC0415 (import only after SIGHUP is blocked)
 
         return serve()
-    from function_router.cli import app  # noqa: PLC0415 (see above)
+    from function_router.cli import app  # noqa: PLC0415 (slow import that `serve` does not need)
 
-    app(prog_name="function_router")  # ends the process by SystemExit, with the status of the command
+    app(prog_name="function_router")  # raises SystemExit with the exit status of the command
     return 0
 
 
--- a/function_router/cli.py
+++ b/function_router/cli.py
@@ -1,4 +1,4 @@
-"""The command line: ``function-router``."""
+"""The command line interface, ``function-router``."""
 
 from typing import Annotated
 
@@ -9,19 +9,19 @@
 app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False)
 ConfigPath = Annotated[
     str | None,
-    typer.Option("--config", help="The JSON file; without it, the one that ROUTER_CONFIG names."),
+    typer.Option("--config", help="Path of the JSON configuration file; defaults to $ROUTER_CONFIG."),
 ]
 
 
 @app.command()
 def serve(path: ConfigPath = None) -> None:
-    """Serve until SIGTERM, then finish the requests that were admitted."""
+    """Serve until SIGTERM, then complete the admitted requests and exit."""
     raise typer.Exit(server.serve(path))
 
 
 @app.command("check-config")
 def check_config(path: ConfigPath = None) -> None:
-    """Check the configuration and print a summary of it."""
+    """Validate the configuration and print a summary."""
     try:
         router_config = config.load(path)
     except config.ConfigurationError as error:
--- a/function_router/config/__init__.py
+++ b/function_router/config/__init__.py
@@ -1,12 +1,12 @@
-"""Reads the router's configuration, checks it and fills in the defaults.
+"""Loads and validates the router's configuration, and applies the defaults.
 
-Both hosts of the decisions use this package: the router process for its whole configuration, the simulator
-adapter for the settings of each simulated router. Unknown keys are ignored, absent and null ones have their
-defaults, and an invalid one raises `ConfigurationError`, whose text starts with the key.
+The router process uses this package for its whole configuration, the simulator adapter for the settings of
+each simulated router. Unknown keys are ignored, and absent or null keys take their defaults. A key with an
+invalid value raises `ConfigurationError`, whose message starts with the key.
 
-`schema` describes the JSON in the words of the operator's pages, `types` the configuration in the program's.
-`loader` reads the file and the environment, `parsing` checks values, and `conversion` gets from one to the
-other. The modules outside this package import from here.
+`schema` describes the JSON with the operator's key names, and `types` the configuration with the program's
+own names. `loader` reads the file and the environment variables, `parsing` validates values, and `conversion`
+maps the JSON to the types. Modules outside this package import its names from here.
 """
 
 from function_router.config.errors import ConfigurationError, UnreadableFileError
--- a/function_router/config/conversion.py
+++ b/function_router/config/conversion.py
@@ -1,4 +1,4 @@
-"""Converts sections of the configuration, named as in the operator's pages, to the program's settings."""
+"""Converts sections of the configuration, which have the operator's names, to the program's settings."""
 
 from function_router.config.schema import (
     FIXED_WEIGHT_SOURCES,
@@ -12,7 +12,7 @@
 
 
 def decision_settings(section: SettingsSection) -> Settings:
-    """The part of the settings that the decisions use."""
+    """Build the settings of the decision module."""
     bounds = section.bounds
     family = section.family_info
     invariants = section.invariants
@@ -43,7 +43,7 @@
 
 
 def transport_settings(section: SettingsSection) -> TransportSettings:
-    """The part of the settings that the network uses."""
+    """Build the settings of the network layer."""
     bounds = section.bounds
     family = section.family_info
     return TransportSettings(
--- a/function_router/config/errors.py
+++ b/function_router/config/errors.py
@@ -1,14 +1,14 @@
-"""Errors of the configuration. Each names the key whose value is invalid."""
+"""Exceptions for an invalid configuration. Each names the key with the invalid value."""
 
 from function_router.errors import FunctionRouterError
 
 
 class ConfigurationError(FunctionRouterError, ValueError):
-    """An invalid configuration. The text is the key, a colon and the problem.
+    """The configuration is invalid. The message has the form "KEY: PROBLEM".
 
     Attributes:
-        key: the path of the key in the JSON, or the environment variable.
-        problem: what is wrong with its value, with the allowed range where there is one.
+        key: the path of the key in the JSON, or the name of the environment variable.
+        problem: why the value is invalid, with the allowed range if there is one.
     """
 
     def __init__(self, key: str, problem: str) -> None:
@@ -18,10 +18,11 @@
 
 
 class UnreadableFileError(ConfigurationError):
-    """The configuration file could not be read; a later attempt may succeed.
+    """The configuration file could not be read. Another attempt may succeed.
 
     Attributes:
-        errno: the error number of the system call that failed, under the name that it has in an OSError.
+        errno: the error number of the failed system call. The attribute has the same name as that of OSError,
+            so that callers can handle both alike.
     """
 
     def __init__(self, key: str, problem: str, error_number: int | None) -> None:
--- a/function_router/config/loader.py
+++ b/function_router/config/loader.py
@@ -1,4 +1,4 @@
-"""Reads the configuration from its file and the environment."""
+"""Loads the configuration from its file and from environment variables."""
 
 import os
 from collections.abc import Mapping
@@ -21,18 +21,22 @@
 from function_router.config.types import RouterConfig
 from function_router.decisions.settings import Settings
 
-# Environment variables: the path of the file, and what takes precedence over the keys in it.
-CONFIG_VARIABLE = "ROUTER_CONFIG"
+CONFIG_VARIABLE = "ROUTER_CONFIG"  # environment variable: path of the configuration file
+# Environment variables that override the keys `listen` and `name` of the file.
 LISTEN_VARIABLE = "ROUTER_LISTEN"
 NAME_VARIABLE = "ROUTER_NAME"
 
 
 def load(path: str | None = None, environment: Mapping[str, str] = os.environ) -> RouterConfig:
-    """Load the configuration from the file at `path`, or else from the one that ROUTER_CONFIG names.
+    """Load the configuration from a file and from environment variables.
+
+    Args:
+        path: the file; by default, the one that ROUTER_CONFIG names.
+        environment: the environment variables.
 
     Raises:
         UnreadableFileError: The file could not be read.
-        ConfigurationError: No file is named, it is not JSON, or a key in it is invalid.
+        ConfigurationError: No file is named, the file is not valid JSON, or the value of a key is invalid.
     """
     file_path = path or environment.get(CONFIG_VARIABLE)
     if not file_path:
@@ -48,10 +52,10 @@
 
 
 def parse_config(data: object, environment: Mapping[str, str]) -> RouterConfig:
-    """Build the whole configuration from decoded JSON and the environment.
+    """Build the whole configuration from decoded JSON and environment variables.
 
     Raises:
-        ConfigurationError: A key or an environment variable is invalid.
+        ConfigurationError: The value of a key or of an environment variable is invalid.
     """
     file = parse_section(data, ConfigurationFile)
     listen = environment.get(LISTEN_VARIABLE) or file.listen
@@ -70,18 +74,18 @@
 
 
 def parse_settings(data: object) -> Settings:
-    """Build the settings of the decisions from decoded JSON, as the simulator hands them to each router.
+    """Build the settings of the decision module from the decoded JSON that the simulator sends for a router.
 
     Raises:
-        ConfigurationError: A key is invalid.
+        ConfigurationError: The value of a key is invalid.
     """
     return decision_settings(parse_section(data, SettingsSection, SETTINGS_KEY))
 
 
 def parse_endpoint_list(data: object) -> EndpointList:
-    """Build the endpoint list from the decoded JSON of an event of the endpoint log.
+    """Build the endpoint list from the decoded JSON in an event of the endpoint log.
 
     Raises:
-        ConfigurationError: A key is invalid.
+        ConfigurationError: The value of a key is invalid.
     """
     return parse_section(data, EndpointList, ENDPOINT_LIST_KEY)
--- a/function_router/config/parsing.py
+++ b/function_router/config/parsing.py
@@ -1,4 +1,4 @@
-"""Parses and checks single values and whole sections; an error names the key and the allowed range."""
+"""Parses and validates single values and whole sections. Errors name the key and the allowed range."""
 
 import ipaddress
 from typing import TypeVar
@@ -12,26 +12,27 @@
 MAX_PORT = 65_535
 HEXADECIMAL_BASE = 16
 
-# Values are quoted in error messages up to these lengths, so that a message stays one short line.
+# Maximum length of a value quoted in an error message, so that the message stays one short line.
 MAX_QUOTED_ADDRESS_LENGTH = 60
 MAX_QUOTED_SEED_LENGTH = 40
 
-# What msgspec puts between the text of an error and the path of the value.
+# msgspec puts this separator between the message of a validation error and the path of the value.
 MSGSPEC_PATH_SEPARATOR = " - at `$"
 
 SchemaT = TypeVar("SchemaT")
 
 
 def parse_section(data: object, schema: type[SchemaT], parent_key: str = "") -> SchemaT:
-    """Convert decoded JSON to its schema.
+    """Convert decoded JSON to a struct.
 
     Args:
         data: the decoded JSON.
-        schema: the struct of `config.schema` for it.
-        parent_key: the key at which the data is found; empty for the whole file.
+        schema: the struct, from `config.schema`.
+        parent_key: the key of the data in the file; empty for the whole file.
 
     Raises:
-        ConfigurationError: A value has the wrong type or is out of range; the key is its path.
+        ConfigurationError: A value has the wrong type or is out of range. The key of the error is the path of
+            the value.
     """
     try:
         return msgspec.convert(_without_nulls(data), schema)
@@ -44,7 +45,7 @@
 
 
 def _without_nulls(value: object) -> object:
-    """The same JSON without keys whose value is null: such a key has its default, like an absent one."""
+    """Remove the keys whose value is null, so that they take their defaults like absent keys."""
     if isinstance(value, dict):
         return {key: _without_nulls(item) for key, item in value.items() if item is not None}
     if isinstance(value, list):
@@ -53,10 +54,14 @@
 
 
 def parse_address(text: str, key: str) -> Address:
-    """Parse `host:port` with a numeric IP address. Names are rejected, as deployments have no DNS.
+    """Parse `host:port` with a numeric IP address. Host names are rejected, as deployments have no DNS.
+
+    Args:
+        text: the address.
+        key: the key that has this value, for error messages.
 
     Raises:
-        ConfigurationError: The text, the value of `key`, is not such an address.
+        ConfigurationError: The text is not such an address.
     """
     host, _, port_text = text.rpartition(":")
     host = host.strip("[]")
@@ -72,7 +77,7 @@
 
 
 def parse_seed(seed: str | int) -> int:
-    """Parse the seed: a number, or a string of hexadecimal digits.
+    """Parse a seed, which is a number or a string of hexadecimal digits.
 
     Raises:
         ConfigurationError: The string is not a hexadecimal number.
--- a/function_router/config/schema.py
+++ b/function_router/config/schema.py
@@ -1,8 +1,8 @@
-"""The JSON of the configuration, the settings and the endpoint list, in the words of the operator's pages.
+"""Schema of the JSON in the configuration file, the simulator's settings and the endpoint log.
 
-Each attribute is a key of the JSON; msgspec ignores other keys. `limits.cores` and `fleet.revision` are
-checked only. Times are milliseconds. `function_router.config.conversion` translates to the program's own
-names.
+Each attribute has the name of its JSON key, which the operator defines; msgspec ignores other keys.
+`function_router.config.conversion` maps the keys to the program's own names. `limits.cores` and
+`fleet.revision` are validated but not used. Times are milliseconds.
 """
 
 from typing import Annotated, Any, Literal
@@ -17,28 +17,27 @@
 NonNegativeFloat = Annotated[float, Meta(ge=0)]
 Milliseconds = NonNegativeFloat
 
-# Keys that error messages name.
+# Keys that appear in error messages.
 ENDPOINT_LIST_KEY = "fleet"
 ENDPOINT_LOG_KEY = "changelog"
 INITIAL_EVENTS_KEY = "known.results"
 LISTEN_KEY = "listen"
 SEED_KEY = "seed"
 SETTINGS_KEY = "settings"
-# Takes the place of a key in an error of the file as a whole.
-WHOLE_FILE_KEY = "configuration"
+WHOLE_FILE_KEY = "configuration"  # not a key of the JSON: stands for the file as a whole in error messages
 
-# Fewer sockets leave no useful share for the connections to workers and those of clients.
+# With fewer sockets, too few would remain for either the connections to workers or those of clients.
 MIN_SOCKETS = 32
 
-# Values of `weight_source` with which an endpoint's size is that of its machine and never changes.
+# Values of `weight_source` for which the size of an endpoint is that of its machine and never changes.
 FIXED_WEIGHT_SOURCES = ("nominal", "rough")
 
-# The value of `not_loaded` with which a request starts an instance by itself where there is none.
+# Value of `not_loaded` for which a worker starts an instance for a request that finds none.
 START_ON_REQUEST = "load"
 
 
 class ClassSection(Struct):
-    """A class of requests: an element of `settings.classes`."""
+    """A request class (an element of `settings.classes`)."""
 
     name: str
     promise: Milliseconds = 1000.0
@@ -51,14 +50,14 @@
 
 
 class TenantSection(Struct):
-    """A tenant: an element of `settings.tenants`."""
+    """A tenant (an element of `settings.tenants`)."""
 
     name: str
-    quota_rps: NonNegativeFloat | None = None  # requests/s at all routers together; None: no quota
+    quota_rps: NonNegativeFloat | None = None  # requests/s, shared by all routers; None: no quota
 
 
 class RoutingLimitsSection(Struct):
-    """Limits on what a router may do: `settings.bounds`."""
+    """Limits for attempts, retries, connections and pending requests (`settings.bounds`)."""
 
     cancel: bool = True
     second_copies: bool = True
@@ -72,7 +71,7 @@
 
 
 class InstanceLifecycleSection(Struct):
-    """How functions start on the workers: `settings.family_info`."""
+    """How workers start and stop instances of functions (`settings.family_info`)."""
 
     may_order: bool = True
     idle_life: Milliseconds = 10_000.0
@@ -85,7 +84,7 @@
 
 
 class InvariantsSection(Struct):
-    """Rules for draining workers and those in slow start: `settings.invariants`."""
+    """Rules for workers that drain or are in slow start (`settings.invariants`)."""
 
     drain_grace: Milliseconds = 1_000.0
     cold: Milliseconds = 10_000.0
@@ -95,13 +94,13 @@
 
 
 class CostsSection(Struct):
-    """What the operator charges for: `settings.costs`."""
+    """Costs of operations that the operator charges for (`settings.costs`)."""
 
-    handshake: NonNegativeFloat = 0.0  # of a connection to a worker
+    handshake: NonNegativeFloat = 0.0  # cost of a connection to a worker
 
 
 class SettingsSection(Struct):
-    """The settings of a router: `settings`, and `config` on the simulator's wire."""
+    """The settings of a router (`settings` in the file, `config` in messages of the simulator)."""
 
     classes: list[ClassSection] = []
     tenants: list[TenantSection] = []
@@ -116,7 +115,7 @@
 
 
 class ResourceLimitsSection(Struct):
-    """Resources of the machine that the process may use: `limits`."""
+    """Resources of the machine that the process may use (`limits`)."""
 
     cores: NonNegativeFloat = 1.0
     memory_mb: PositiveInt = 192
@@ -124,7 +123,7 @@
 
 
 class InitialEventsSection(Struct):
-    """The events of the endpoint log that the process starts from: `known`."""
+    """The events of the endpoint log that are known at startup (`known`)."""
 
     seq: NonNegativeInt = 0
     results: list[dict[str, Any]] = []
@@ -143,7 +142,7 @@
 
 
 class EndpointRecord(Struct, frozen=True):
-    """A worker in an event of the endpoint log: an element of `fleet.members`."""
+    """A worker in an event of the endpoint log (an element of `fleet.members`)."""
 
     id: str
     phase: Literal["in_service", "terminating", "terminated"]
@@ -152,12 +151,12 @@
     flavor: str = ""
     cell: int = 0
     size: float = 1.0
-    up_since_ms: float = 0.0  # Unix time of a recent start; 0: started long ago
+    up_since_ms: float = 0.0  # Unix time of the start if it was recent; 0: started long ago
 
 
 class EndpointList(Struct, frozen=True):
-    """The list in an event of the endpoint log: `fleet`."""
+    """The endpoint list, or the changes to it, in an event of the endpoint log (`fleet`)."""
 
     members: list[EndpointRecord]
-    complete: bool = False  # False: only members that changed
+    complete: bool = False  # False: `members` has only the endpoints that changed
     revision: int = 0
--- a/function_router/errors.py
+++ b/function_router/errors.py
@@ -1,5 +1,5 @@
-"""The base class of the errors that this package raises."""
+"""The base class of the exceptions that this package raises."""
 
 
 class FunctionRouterError(Exception):
-    """An error whose text says what went wrong and where."""
+    """Base class; the message of each subclass says what failed and where."""
--- a/function_router/server.py
+++ b/function_router/server.py
@@ -1,6 +1,7 @@
-"""Runs one router, from its configuration file to an exit status.
+"""Runs a router process from its configuration file and returns an exit status.
 
-Both `function_router.cli` and `function_router.__main__` use it; it imports no command-line library.
+`function_router.cli` and `function_router.__main__` both use this module. It imports no command-line library,
+so that `function_router.__main__` can start quickly.
 """
 
 import gc
@@ -16,29 +17,32 @@
 
 
 def serve(path: str | None = None) -> int:
-    """Serve until SIGTERM, configured by the file at `path` or else the one that ROUTER_CONFIG names.
+    """Serve until SIGTERM.
+
+    Args:
+        path: the configuration file; by default, the file that ROUTER_CONFIG names.
 
     Returns:
-        The exit status: 0 once all admitted requests are answered, 2 if the configuration is invalid; the
-        key is then named on standard error.
+        The exit status: 0 after SIGTERM, once all admitted requests are answered; 2 if the configuration is
+        invalid, in which case a message on standard error names the key.
     """
-    # SIGHUP stays blocked until the event loop has its handlers.
+    # SIGHUP stays blocked until the event loop has installed its signal handlers.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         router = _create_router(path)
     except configuration.ConfigurationError as error:
         print(f"function-router: {error}", file=sys.stderr)
         return EXIT_INVALID_CONFIGURATION
-    gc.freeze()  # the objects made so far are never freed, so the garbage collector need not visit them
+    gc.freeze()  # startup objects live until exit; exclude them from garbage collection
     router.serve()
     return EXIT_OK
 
 
 def _create_router(path: str | None) -> RouterProcess:
-    """Create the router process, which reads the configuration again at SIGHUP.
+    """Create the router process, which reloads the configuration on SIGHUP.
 
     Raises:
-        ConfigurationError: The configuration is invalid, or its listen address can't be bound.
+        ConfigurationError: The configuration is invalid, or its listen address cannot be bound.
     """
     config = retry_at_start(lambda: configuration.load(path))
     try:
--- a/function_router/simulator_adapter.py
+++ b/function_router/simulator_adapter.py
@@ -1,7 +1,8 @@
-"""Hosts the decisions of simulated routers: batches of events on standard input, replies on standard output.
+"""Runs the decision modules of simulated routers, and talks to the simulator over standard input and output.
 
-Run as ``python -m function_router.simulator_adapter``. A batch is a line of JSON and has one reply, a line of
-JSON too. `function_router.simulator_codec` translates the messages in them.
+Run as ``python -m function_router.simulator_adapter``. Each line of standard input is a batch of messages in
+JSON. The adapter answers each batch with one line of JSON on standard output.
+`function_router.simulator_codec` converts the messages in both.
 """
 
 import gc
@@ -25,7 +26,7 @@
     write_exception,
 )
 
-# Fields of a batch and of its reply.
+# Fields of a batch and of its reply; a reply has only ROUTER_BATCHES.
 BATCH_TIME = "wall"
 ROUTER_BATCHES = "ends"
 
@@ -40,29 +41,29 @@
 EXIT_OK = 0
 EXIT_INVALID_BATCH = 2
 
-# Raised by a reader for a body that lacks a field or has one of the wrong type.
+# Event readers raise these if the body of a message lacks a field or has a field of the wrong type.
 INVALID_BODY_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 
 
 class InvalidBatchError(FunctionRouterError, ValueError):
-    """A line that is no valid batch; the text names what is wrong."""
+    """An input line is not a valid batch. The message says why."""
 
 
 class SimulatorAdapter:
-    """Hosts one `Router` for each router of the simulation; they share nothing.
+    """Hosts one `Router` for each simulated router. The routers share no state.
 
     Attributes:
-        routers: the running ones by their number.
+        routers: the running routers by their id.
     """
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
     def answer(self, line: str) -> str:
-        """The reply to one line of input.
+        """Process a batch and return the reply, both as lines of JSON.
 
         Raises:
-            InvalidBatchError: The line is no valid batch.
+            InvalidBatchError: The line is not a valid batch.
         """
         batch = _decode_batch(line)
         now_ms = batch[BATCH_TIME]
@@ -76,7 +77,7 @@
         return json.dumps({ROUTER_BATCHES: replies}, separators=COMPACT_SEPARATORS)
 
     def _answer_router(self, router_id: int, now_ms: float, messages: list[Any]) -> list[JsonObject]:
-        """The replies to the messages of one router, whose events between restarts are handled together."""
+        """Process the messages of one router; the events between two restarts form one batch for it."""
         replies: list[JsonObject] = []
         events: list[Event] = []
         for message in messages:
@@ -97,12 +98,12 @@
         return replies + self._handle(router_id, now_ms, events)
 
     def _handle(self, router_id: int, now_ms: float, events: list[Event]) -> list[JsonObject]:
-        """The router's actions as messages, or one message that reports its exception."""
+        """Pass events to a router, and return its actions, or the exception that it raises, as messages."""
         if not events or router_id not in self.routers:
             return []
         try:
             actions = self.routers[router_id].handle(now_ms, events)
-        except Exception as error:  # noqa: BLE001 (the wire has a message for any exception of the decisions)
+        except Exception as error:  # noqa: BLE001 (a message reports any exception to the simulator)
             return [write_exception(_describe_exception(error))]
         return [write_action(action) for action in actions]
 
@@ -114,42 +115,42 @@
         problem = f"not JSON: {error}"
         raise InvalidBatchError(problem) from None
     if not isinstance(batch, dict) or not isinstance(batch.get(BATCH_TIME), int | float):
-        problem = f"a batch is an object with a number {BATCH_TIME!r}"
+        problem = f"expected an object with a number {BATCH_TIME!r}"
         raise InvalidBatchError(problem)
     if not isinstance(batch.get(ROUTER_BATCHES), list):
-        problem = f"a batch has an array {ROUTER_BATCHES!r}"
+        problem = f"expected an object with an array {ROUTER_BATCHES!r}"
         raise InvalidBatchError(problem)
     return batch
 
 
 def _check_router_batch(value: object) -> None:
     if not isinstance(value, dict) or ROUTER_ID not in value or not isinstance(value.get(MESSAGES), list):
-        problem = f"an element of {ROUTER_BATCHES!r} has {ROUTER_ID!r} and an array {MESSAGES!r}"
+        problem = f"each element of {ROUTER_BATCHES!r} requires {ROUTER_ID!r} and an array {MESSAGES!r}"
         raise InvalidBatchError(problem)
 
 
 def _split_message(message: object) -> tuple[str, Any]:
     if not isinstance(message, dict) or len(message) != 1:
         quoted = json.dumps(message)[:MAX_QUOTED_MESSAGE_LENGTH]
-        problem = f"an event is an object with one name: {quoted}"
+        problem = f"expected an event, an object with exactly one key, got {quoted}"
         raise InvalidBatchError(problem)
     [(name, body)] = message.items()
     return name, body
 
 
 def _describe_exception(error: Exception) -> str:
-    """The type of an error, the function and line that raised it, and its text."""
+    """Format the type of an exception, the function and line that raised it, and its message."""
     frame = traceback.extract_tb(error.__traceback__)[-1]
     return f"{type(error).__name__} in {frame.name}, line {frame.lineno}: {error}"
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    """Answer batches until the input ends.
+    """Answer batches until the end of the input.
 
     Returns:
-        The exit status: 0, or 2 at a line that is no valid batch.
+        The exit status: 0, or 2 if a line is not a valid batch.
     """
-    gc.freeze()  # the objects made so far are never freed, so the garbage collector need not visit them
+    gc.freeze()  # startup objects live until exit; exclude them from garbage collection
     adapter = SimulatorAdapter()
     for line in source:
         try:
--- a/function_router/simulator_codec.py
+++ b/function_router/simulator_codec.py
@@ -1,8 +1,8 @@
-"""The simulator's wire: JSON messages to events of the decisions, and their actions to JSON messages.
+"""Codec of the simulator's protocol: decodes JSON messages to events, and encodes actions as JSON messages.
 
-A message is an object with one key, the message's name, whose value is its body. Names of messages and fields
-are those of the operator's page on the wire; what that page calls an instance of the front end is a router
-here. Absent and null fields have their defaults. Times are milliseconds.
+A message is an object with one key, the name of the message, whose value is the body. The operator's protocol
+page defines the names of the messages and their fields; an "instance of the front end" on that page is a
+router here. Absent and null fields take their defaults. Times are milliseconds.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 JsonObject = dict[str, Any]
 
-# Names of incoming messages.
+# Names of the messages from the simulator.
 ROUTER_STARTED = "ATTACH"
 ROUTER_KILLED = "POWER_OFF"
 ENDPOINTS = "TARGETS"
@@ -33,7 +33,7 @@
 INSTANCES_REPORT = "RESIDENT"
 TIMER_FIRED = "DEADLINE_HIT"
 
-# Names of outgoing messages.
+# Names of the messages to the simulator.
 SEND = "ATTEMPT"
 CANCEL = "STOP_ATTEMPT"
 REJECT = "SAY_NO"
@@ -44,7 +44,7 @@
 LOG = "LOG"
 EXCEPTION = "EXCEPTION"
 
-# Fields of several messages.
+# Fields that several messages have.
 REQUEST_ID = "tid"
 ATTEMPT_NUMBER = "try"
 WORKER_ID = "worker"
@@ -52,14 +52,14 @@
 INSTANCES = "how_many"
 OUTCOME = "ending"
 DURATION = "took"
-TIMER_TOKEN = "handle"  # a number that the router chooses
+TIMER_TOKEN = "handle"  # number that the router chooses to identify the timer
 TEXT = "body_text"
 
 # Fields of ROUTER_STARTED.
 SEED = "init_seed"
 SETTINGS = "config"
 
-# Fields of ENDPOINTS, and of each of its entries.
+# Fields of ENDPOINTS (LIST_*) and of each of its entries (ENDPOINT_*).
 LIST_KIND = "kind"
 LIST_ENTRIES = "entries"
 ENDPOINT_STATE = "state"
@@ -69,9 +69,9 @@
 ENDPOINT_SIZE = "units"
 ENDPOINT_STARTED_AT = "up_since"
 
-# Values of LIST_KIND; any other one is a list of changes, too.
+# Values of LIST_KIND. A list with any other value is a list of changes, too.
 CHANGES_ONLY = 0
-COMPLETE_LIST_KINDS = (1, 2)  # the current list, and the one that the router last had
+COMPLETE_LIST_KINDS = (1, 2)  # the current list, and the list that the router received last
 LIST_UNAVAILABLE = 3
 
 # Fields of REQUEST.
@@ -83,18 +83,19 @@
 REQUEST_EXPECTED_START_MS = "load_ms"
 REQUEST_EXPECTED_RUN_MS = "hint"
 REQUEST_FLAGS = "bitmap"
-EXPECTED_RUN_MS_IS_VALID = 1  # a bit of REQUEST_FLAGS
+EXPECTED_RUN_MS_IS_VALID = 1  # bit of REQUEST_FLAGS: REQUEST_EXPECTED_RUN_MS is valid
 
 # Fields of ATTEMPT_ENDED.
 IS_ANSWERED = "ended"
 LOAD_REPORT = "health_info"
 PACKED_STATUS = "remark"
 
-# PACKED_STATUS has the start kind in its lowest three bits, and the number of requests in flight above them.
+# PACKED_STATUS holds the start kind in its lowest three bits, and the number of requests in flight in the
+# higher bits.
 START_KIND_MASK = 7
 IN_FLIGHT_SHIFT = 3
 
-# Other fields of outgoing messages.
+# Other fields of messages to the simulator.
 RETRY_AFTER = "hold_off"
 TIMER_DELAY = "sleep_for"
 
@@ -102,7 +103,7 @@
 
 
 def read_endpoint(entry: JsonObject) -> Endpoint:
-    """An entry of the endpoint list."""
+    """Decode an entry of the endpoint list."""
     size = entry.get(ENDPOINT_SIZE)
     return Endpoint(
         worker_id=entry[WORKER_ID],
@@ -116,7 +117,7 @@
 
 
 def read_endpoints(body: JsonObject) -> EndpointsChanged | None:
-    """The endpoint list or its changes; None where it is unavailable and the previous one stays valid."""
+    """Decode the endpoint list or its changes; None if it is unavailable: the previous list stays valid."""
     kind = body.get(LIST_KIND) or CHANGES_ONLY
     if kind == LIST_UNAVAILABLE:
         return None
@@ -125,7 +126,7 @@
 
 
 def read_request(body: JsonObject) -> RequestArrived:
-    """A request of a client."""
+    """Decode a request of a client."""
     flags = body.get(REQUEST_FLAGS) or 0
     return RequestArrived(
         request_id=body[REQUEST_ID],
@@ -141,12 +142,12 @@
 
 
 def read_request_cancelled(body: JsonObject) -> RequestCancelled:
-    """A client that no longer waits for its request."""
+    """Decode the cancellation of a request by its client."""
     return RequestCancelled(body[REQUEST_ID])
 
 
 def read_attempt_ended(body: JsonObject) -> AttemptEnded:
-    """The end of an attempt."""
+    """Decode the end of an attempt."""
     packed_status = body.get(PACKED_STATUS)
     return AttemptEnded(
         request_id=body[REQUEST_ID],
@@ -162,7 +163,7 @@
 
 
 def read_instances_report(body: JsonObject) -> InstancesReported:
-    """A worker's answer to a start order or a probe."""
+    """Decode the answer of a worker to a start order or a probe."""
     return InstancesReported(
         worker_id=body[WORKER_ID],
         function=body[FUNCTION],
@@ -173,12 +174,12 @@
 
 
 def read_timer_fired(body: JsonObject) -> TimerFired:
-    """A timer that has come due."""
+    """Decode the expiry of a timer."""
     return TimerFired(body[TIMER_TOKEN])
 
 
-def write_action(action: actions.Action) -> JsonObject:  # noqa: PLR0911 (one for each action)
-    """The message that has the simulator carry out an action; mypy reports an action that has none."""
+def write_action(action: actions.Action) -> JsonObject:  # noqa: PLR0911 (one return per action)
+    """Encode an action as the message that requests it; mypy reports an action without a case."""
     match action:
         case actions.SendRequest():
             return {SEND: {REQUEST_ID: action.request_id, WORKER_ID: action.worker_id}}
@@ -209,11 +210,11 @@
 
 
 def write_exception(text: str) -> JsonObject:
-    """The message that reports an exception of the decisions."""
+    """Build the message that reports an exception of the decision module."""
     return {EXCEPTION: {TEXT: text}}
 
 
-# By the name of the message. Messages with other names are ignored.
+# Decoders by message name. Messages with other names are ignored.
 EVENT_READERS: dict[str, Callable[[JsonObject], Event | None]] = {
     ENDPOINTS: read_endpoints,
     REQUEST: read_request,
