--- a/tests/helpers/lease_harness.py
+++ b/tests/helpers/lease_harness.py
@@ -42,10 +42,10 @@
 
     def answer_health_check(self, worker_id, readiness=Readiness.READY, outcome=Outcome.OK, lost_at_ms=None):
         """Report the answer of a worker to a health check that was sent a round trip earlier."""
-        asked_ms = self.now_ms
+        checked_at_ms = self.now_ms
         self.now_ms += ROUND_TRIP_MS
         return self.feed(
-            HealthChecked(worker_id, outcome, readiness, asked_ms, self.connected_ms, lost_at_ms)
+            HealthChecked(worker_id, outcome, readiness, checked_at_ms, self.connected_ms, lost_at_ms)
         )
 
 
--- a/tests/helpers/process_harness.py
+++ b/tests/helpers/process_harness.py
@@ -114,9 +114,9 @@
 
     def run_until(self, condition, description="it happens"):
         """Run turns of the event loop and let the peers receive until a condition holds."""
-        end_s = time.monotonic() + WAIT_TIMEOUT_S
+        deadline_s = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
-            assert time.monotonic() < end_s, f"timed out waiting until {description}"
+            assert time.monotonic() < deadline_s, f"timed out waiting until {description}"
             self.router_process.loop.run_once(MAX_TURN_WAIT_S)
             for peer in self._peers():
                 peer.receive()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -54,15 +54,15 @@
 def test_reload_retries_transient_errors_of_reading_the_file(config_path, exit_stack):
     router = server._create_router(str(config_path))
     exit_stack.callback(router.close)
-    moved = FakeEndpointLog()
-    exit_stack.callback(moved.close)
-    config_path.write_bytes(msgspec.json.encode(router_config(moved)))
+    new_endpoint_log = FakeEndpointLog()
+    exit_stack.callback(new_endpoint_log.close)
+    config_path.write_bytes(msgspec.json.encode(router_config(new_endpoint_log)))
     fail_reads = TransientErrorFunction(Path.read_bytes, errno.ENFILE, errno.EMFILE)
 
     with mock.patch.object(Path, "read_bytes", side_effect=fail_reads, autospec=True):
         router.reload.run()
-        while not moved.requests():
+        while not new_endpoint_log.requests():
             router.loop.run_once(0.01)
-            moved.receive()
+            new_endpoint_log.receive()
 
-    assert moved.requests() == [["since", "1"]]
+    assert new_endpoint_log.requests() == [["since", "1"]]
--- a/tests/test_stale_endpoint_list.py
+++ b/tests/test_stale_endpoint_list.py
@@ -146,9 +146,9 @@
 DOWNTIME_S = 0.3
 
 
-def slow_start_limit(usual_rate):
+def slow_start_limit(baseline_rate):
     """Return the maximum number of requests in the first second of a worker, with an allowance for noise."""
-    budget = SLOW_START["fall_multiple"] * SLOW_START["cold_share"] * usual_rate
+    budget = SLOW_START["fall_multiple"] * SLOW_START["cold_share"] * baseline_rate
     return budget + 3 * math.sqrt(budget) + 3
 
 
@@ -156,7 +156,7 @@
     cluster = make_cluster(invariants=SLOW_START)
     [restarted, other] = cluster.workers
     cluster.run(BASELINE_S)
-    usual_rate = (len(restarted.new_work) + len(other.new_work)) / 2 / BASELINE_S
+    baseline_rate = (len(restarted.new_work) + len(other.new_work)) / 2 / BASELINE_S
 
     cluster.endpoint_log.fail(LogFailure.REFUSES)
     cluster.run(STALE_AFTER_S)
@@ -170,9 +170,9 @@
     cluster.run(OUTAGE_S)
 
     times_s = [work.at_s for work in restarted.new_work_after(started_s) if work.is_attempt]
-    in_first_second = [at_s for at_s in times_s if at_s < times_s[0] + 1.0]
-    assert len(in_first_second) <= slow_start_limit(usual_rate)
-    assert len(times_s) > len(in_first_second), "the worker gets work after its first second"
+    first_second_times_s = [at_s for at_s in times_s if at_s < times_s[0] + 1.0]
+    assert len(first_second_times_s) <= slow_start_limit(baseline_rate)
+    assert len(times_s) > len(first_second_times_s), "the worker gets work after its first second"
 
 
 # --- other beginnings and ends of an outage
@@ -221,9 +221,9 @@
     cluster.run(ANSWER_WAIT_S, sends_requests=False)
 
     assert [worker.new_work_after(drained_s + GRACE_S) for worker in cluster.workers] == [[], []]
-    late = cluster.client.answers[-50:]
-    assert {answer.kind for answer in late} == {AnswerKind.THROTTLED}
-    assert all(answer.content[1]["pushback"] == b"900" for answer in late)
+    last_answers = cluster.client.answers[-50:]
+    assert {answer.kind for answer in last_answers} == {AnswerKind.THROTTLED}
+    assert all(answer.content[1]["pushback"] == b"900" for answer in last_answers)
     assert set(cluster.client.answer_kinds()) == set(cluster.sent_at_s)
 
 
@@ -249,13 +249,13 @@
     cluster.run(BASELINE_S)
     host, port = unreachable_address()
     cluster.reload(changelog=f"{host}:{port}")
-    moved_s = time.monotonic()
+    reloaded_s = time.monotonic()
     cluster.run(DRAIN_DELAY_S)
     draining.is_draining = True
 
     cluster.run(NOTIFIED_AFTER_SILENCE_S + 2 * GRACE_S)
 
-    assert draining.new_work_after(moved_s + NOTIFIED_AFTER_SILENCE_S + GRACE_S) == []
+    assert draining.new_work_after(reloaded_s + NOTIFIED_AFTER_SILENCE_S + GRACE_S) == []
 
 
 # --- cost of health checks
@@ -264,13 +264,13 @@
 def test_health_checks_are_sent_about_once_a_second_and_only_during_an_outage(make_cluster):
     cluster = make_cluster()
     cluster.run(BASELINE_S)
-    asked_before = sum(len(worker.health_checks) for worker in cluster.workers)
+    checks_before = sum(len(worker.health_checks) for worker in cluster.workers)
     connections_before = [len(worker.connections) for worker in cluster.workers]
 
     cluster.endpoint_log.fail(LogFailure.REFUSES)
     cluster.run(OUTAGE_S)
 
-    assert asked_before == 0
+    assert checks_before == 0
     checks = [len(worker.health_checks) for worker in cluster.workers]
     assert 0 < max(checks) <= MAX_CHECKS_PER_S * OUTAGE_S
     assert [len(worker.connections) for worker in cluster.workers] == connections_before
