--- a/tests/helpers/process_harness.py
+++ b/tests/helpers/process_harness.py
@@ -59,12 +59,12 @@
         self.router_process = RouterProcess(parse_config(config, {}), log=self._log)
         self.router_process.start()
         if wait_for_log_request:
-            self.run_until(self.endpoint_log.requests, "the endpoint log has a request")
+            self.run_until(self.endpoint_log.requests, "the endpoint log has received a request")
 
     def _log(self, text, _source=""):
         self.log_lines.append(text)
 
-    # --- components of the router ----------------------------------------------------------------------
+    # --- components of the router -----------------------------------------------------------------
 
     @property
     def pool(self):
@@ -83,7 +83,7 @@
     def only_client_connection(self):
         """Wait for the first client connection and return it; there must be only one."""
         connections = self.router_process.listener.connections
-        self.run_until(lambda: connections, "the connection is accepted")
+        self.run_until(lambda: connections, "the router has accepted a connection")
         [connection] = connections
         return connection
 
@@ -110,9 +110,9 @@
         self.round_trip(client)
         return client
 
-    # --- actions -----------------------------------------------------------------------------
+    # --- actions ----------------------------------------------------------------------------------
 
-    def run_until(self, condition, description="it happens"):
+    def run_until(self, condition, description="the condition holds"):
         """Run turns of the event loop and let the peers receive until a condition holds."""
         deadline_s = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
@@ -125,13 +125,13 @@
         """Wait for a status answer, which shows that the router has read all earlier bytes of the client."""
         seqid = FIRST_ROUND_TRIP_SEQID + len(client.answers)
         client.request_status(seqid)
-        self.run_until(lambda: seqid in client.answer_kinds(), "the status comes")
+        self.run_until(lambda: seqid in client.answer_kinds(), "the status answer arrives")
 
     def deliver_request(self, worker):
         """Send a request from a new client, wait until the worker has received it, and return the client."""
         client = self.connect_client()
         client.send_request()
-        self.run_until(lambda: worker.requests, "it runs")
+        self.run_until(lambda: worker.requests, "the worker has received the request")
         return client
 
     def deliver_attempt(self, worker, results, **options):
@@ -144,7 +144,7 @@
         """
         request_count = len(worker.requests)
         self.pool.send(attempt(worker.worker_id, results, **options))
-        self.run_until(lambda: len(worker.requests) > request_count, "it runs")
+        self.run_until(lambda: len(worker.requests) > request_count, "the worker has received the attempt")
 
     def probe(self, worker_id=UNLISTED_WORKER_ID):
         """Send a probe to a worker: a request for the number of its instances."""
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -23,7 +23,7 @@
     def __call__(self, *arguments, **options):
         """Raise the next error, or call the function if there is none."""
         if self._remaining_errors:
-            raise OSError(self._remaining_errors.pop(0), "for a moment")
+            raise OSError(self._remaining_errors.pop(0), "transient error")
         return self._function(*arguments, **options)
 
 
