--- a/function_router/decisions/circuit_breakers.py
+++ b/function_router/decisions/circuit_breakers.py
@@ -5,10 +5,10 @@
 from function_router.limits import CircuitBreaker
 
 # This many failures of a class at a worker open its breaker.
-FAILURES_TO_OPEN = 2.0
+FAILURE_THRESHOLD = 2.0
 
 # After a success, this fraction of the failures is kept.
-FAILURES_KEPT = 0.7
+FAILURE_DECAY_FACTOR = 0.7
 
 # A breaker is open for this long at first. Each trial doubles it, up to the maximum.
 OPEN_MS = 2_000.0
@@ -50,8 +50,8 @@
         breaker = worker.breakers.get(class_name)
         if breaker is None:
             breaker = CircuitBreaker(
-                threshold=FAILURES_TO_OPEN,
-                kept_fraction=FAILURES_KEPT,
+                threshold=FAILURE_THRESHOLD,
+                decay_factor=FAILURE_DECAY_FACTOR,
                 open_ms=OPEN_MS,
                 max_open_ms=MAX_OPEN_MS,
             )
@@ -64,6 +64,6 @@
         breaker = breakers.get(attempt.class_name)
         if breaker is None:
             return
-        breaker.record_success(was_failure=attempt.is_lost)
+        breaker.record_success(was_counted_as_failure=attempt.is_lost)
         if breaker.is_clear:
             del breakers[attempt.class_name]
--- a/function_router/decisions/dispatch.py
+++ b/function_router/decisions/dispatch.py
@@ -2,7 +2,7 @@
 
 from function_router.decisions.actions import NoteWithheld, SendRequest
 from function_router.decisions.admission import Admission, Urgency
-from function_router.decisions.endpoint_leases import Proof
+from function_router.decisions.endpoint_leases import LeaseStatus
 from function_router.decisions.fleet import Fleet
 from function_router.decisions.outbox import Outbox
 from function_router.decisions.records import Attempt, Function, Request, Worker
@@ -36,7 +36,7 @@
         self._outbox = outbox
         self._waiting: dict[str, Function] = {}  # functions with queued requests, by name
 
-    def has_waiting(self) -> bool:
+    def has_waiting_functions(self) -> bool:
         """Whether a function may have queued requests."""
         return bool(self._waiting)
 
@@ -89,7 +89,7 @@
         confined to some of the workers.
         """
         queue = function.queue
-        function.awaits_proof = False
+        function.awaits_check = False
         if len(queue) > 1:
             queue.sort(key=lambda request: self._admission.urgency(request, now_ms))
         for request in list(queue):
@@ -117,9 +117,11 @@
                 continue
             if not self._may_send_to(request, worker, limit_fraction, now_ms):
                 continue
-            proof = self._leases.prove(worker, function.name, now_ms, may_ask=not function.awaits_proof)
-            if proof is not Proof.VALID:
-                function.awaits_proof = function.awaits_proof or proof is Proof.AWAITED
+            status = self._leases.check_lease(
+                worker, function.name, now_ms, may_check=not function.awaits_check
+            )
+            if status is not LeaseStatus.VALID:
+                function.awaits_check = function.awaits_check or status is LeaseStatus.PENDING
                 self._note_withheld(request, worker)
                 continue
             if self._placement.is_below_load_bound(worker, len(self._requests.attempts), now_ms):
@@ -128,7 +130,7 @@
         return min(beyond_bound, key=lambda worker: worker.in_flight, default=None)
 
     def _note_withheld(self, request: Request, worker: Worker) -> None:
-        """Note once for each worker that a request is not sent to it for want of a proof."""
+        """Note once for each worker that a request is not sent to it for want of a lease."""
         if worker.id not in request.withheld_from:
             request.withheld_from.append(worker.id)
             self._outbox.add(NoteWithheld(request.id, worker.id))
@@ -163,7 +165,7 @@
         self._health.expect_reply(worker, now_ms)
         self._health.breakers.record_send(worker, attempt.class_name, now_ms)
         # The first attempt beyond the slots that there were before uses the speculative instance: this is Ti.
-        if pool.unused_since_ms is not None and pool.in_flight > pool.slots_before:
+        if pool.unused_since_ms is not None and pool.in_flight > pool.slots_before_start:
             function.idle_before_use_ms = now_ms - pool.unused_since_ms
             pool.unused_since_ms = None
         self._outbox.add(SendRequest(request.id, worker.id))
--- a/function_router/decisions/endpoint_leases.py
+++ b/function_router/decisions/endpoint_leases.py
@@ -39,13 +39,13 @@
 
 # Workers that get work are asked already this long before the lease on the list ends. It has to be short, as
 # the list is often confirmed late where the log was only restarted or moved.
-CHECK_AHEAD_MS = 250.0
+CHECK_LEAD_MS = 250.0
 
 # After this time without an answer, requests look for another worker. It is several round trips.
-CHECK_PATIENCE_MS = 60.0
+CHECK_WAIT_MS = 60.0
 
 # A health check whose end was not reported by then never will be: an exception may have prevented it.
-LOST_CHECK_MS = 5_000.0
+CHECK_EXPIRY_MS = 5_000.0
 
 # A worker that gave no answer, or is draining, is asked again after this time; the interval doubles up to the
 # maximum.
@@ -57,13 +57,13 @@
 DRAIN_REPORT_TTL_MS = 5_000.0
 
 
-class Proof(Enum):
+class LeaseStatus(Enum):
     """Whether a worker may get new work now."""
 
     VALID = (
         auto()
     )  # the list says that it is ready and may be believed, or the worker has just said so itself
-    AWAITED = auto()  # it has just been asked
+    PENDING = auto()  # it has just been asked
     MISSING = auto()
 
 
@@ -107,10 +107,10 @@
         self._confirmed_ms = max(as_of_ms, self._confirmed_ms or as_of_ms)
         self._interrupted_ms = math.inf
         if self.is_list_current(now_ms):
-            self._forget_answers(now_ms)
+            self._clear_outdated_answers(now_ms)
         return self._workers.ready is not ready
 
-    def _forget_answers(self, now_ms: float) -> None:
+    def _clear_outdated_answers(self, now_ms: float) -> None:
         """Forget what was assumed of workers, and drains that the list should have by now."""
         for worker in list(self._checked.values()):
             worker.assumed_started_ms = None
@@ -126,27 +126,27 @@
 
     # --- workers --------------------------------------------------------------------------------
 
-    def prove(self, worker: Worker, function: str, now_ms: float, *, may_ask: bool) -> Proof:
+    def check_lease(self, worker: Worker, function: str, now_ms: float, *, may_check: bool) -> LeaseStatus:
         """Say whether a worker may get new work now, and ask it if that is in doubt or will soon be.
 
         Args:
             worker: A worker that the list has as ready.
             function: The function for which it would get work, for the traces of its requests.
             now_ms: The time.
-            may_ask: Whether the worker may be asked.
+            may_check: Whether the worker may be asked.
         """
-        expires_ms = max(self.list_expires_ms - CHECK_AHEAD_MS, self._expires_ms(worker) - RENEWAL_LEAD_MS)
+        expires_ms = max(self.list_expires_ms - CHECK_LEAD_MS, self._expires_ms(worker) - RENEWAL_LEAD_MS)
         if now_ms < expires_ms:
-            return Proof.VALID
-        if may_ask:
-            self._ask(worker, function, now_ms)
-        if self.is_proven(worker, now_ms):
-            return Proof.VALID
-        asked_ms = worker.lease.asked_ms
-        is_awaited = asked_ms is not None and now_ms - asked_ms < CHECK_PATIENCE_MS
-        return Proof.AWAITED if is_awaited else Proof.MISSING
-
-    def is_proven(self, worker: Worker, now_ms: float) -> bool:
+            return LeaseStatus.VALID
+        if may_check:
+            self._send_check(worker, function, now_ms)
+        if self.has_valid_lease(worker, now_ms):
+            return LeaseStatus.VALID
+        pending_check_ms = worker.lease.pending_check_ms
+        is_check_pending = pending_check_ms is not None and now_ms - pending_check_ms < CHECK_WAIT_MS
+        return LeaseStatus.PENDING if is_check_pending else LeaseStatus.MISSING
+
+    def has_valid_lease(self, worker: Worker, now_ms: float) -> bool:
         """Whether the list may be believed or the worker has a valid lease."""
         return self.is_list_current(now_ms) or now_ms < self._expires_ms(worker)
 
@@ -185,13 +185,13 @@
     def _expires_ms(self, worker: Worker) -> float:
         return worker.lease.ready_as_of_ms + self._lease_ms
 
-    def _ask(self, worker: Worker, function: str, now_ms: float) -> None:
+    def _send_check(self, worker: Worker, function: str, now_ms: float) -> None:
         """Send a health check, unless one is pending or it is too soon for another one."""
         lease = worker.lease
-        is_pending = lease.asked_ms is not None and now_ms - lease.asked_ms < LOST_CHECK_MS
+        is_pending = lease.pending_check_ms is not None and now_ms - lease.pending_check_ms < CHECK_EXPIRY_MS
         if is_pending or now_ms < lease.next_check_ms:
             return
-        lease.asked_ms = now_ms
+        lease.pending_check_ms = now_ms
         self._outbox.add(CheckHealth(worker.id, function))
 
     # --- answers --------------------------------------------------------------------------------
@@ -204,7 +204,7 @@
         """
         ready = self._workers.ready
         lease = worker.lease
-        lease.asked_ms = None
+        lease.pending_check_ms = None
         self._checked[worker.id] = worker
         if event.readiness is Readiness.READY:
             self._record_ready(worker, event)
@@ -247,8 +247,8 @@
         process_seen_ms = max(list_as_of_ms, lease.process_seen_ms)
         if event.connected_at_ms <= process_seen_ms:
             return False
-        signs_ms = [event.connection_lost_at_ms, lease.drain_reported_ms, worker.unresponsive_since_ms]
-        return any(sign_ms is not None and sign_ms > process_seen_ms for sign_ms in signs_ms)
+        disruptions_ms = [event.connection_lost_at_ms, lease.drain_reported_ms, worker.unresponsive_since_ms]
+        return any(time_ms is not None and time_ms > process_seen_ms for time_ms in disruptions_ms)
 
     def recheck_draining(self, now_ms: float) -> None:
         """Ask the workers that said that they drain once more, each after its interval.
@@ -260,8 +260,8 @@
         for worker in self._checked.values():
             is_listed_ready = worker.endpoint.state == WorkerState.READY
             if is_listed_ready and worker.lease.drain_reported_ms is not None:
-                self._ask(worker, "", now_ms)
+                self._send_check(worker, "", now_ms)
 
-    def forget_worker(self, worker: Worker) -> None:
+    def remove_worker(self, worker: Worker) -> None:
         """Forget a worker that is gone for good."""
         self._checked.pop(worker.id, None)
--- a/function_router/decisions/feedback.py
+++ b/function_router/decisions/feedback.py
@@ -13,8 +13,8 @@
 FULL_QUEUE_SLOWDOWN = 2 * SLOW_RUN_FACTOR
 
 # Outcomes that show that the worker has replied, for an attempt and for a start order or probe.
-REPLIES = (Outcome.OK, Outcome.ERROR, Outcome.QUEUE_FULL, Outcome.NOT_LOADED)
-REPORT_REPLIES = (Outcome.OK, Outcome.ERROR, Outcome.QUEUE_FULL)
+REPLY_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.QUEUE_FULL, Outcome.NOT_LOADED)
+REPORT_REPLY_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.QUEUE_FULL)
 
 
 class Feedback:
@@ -33,7 +33,7 @@
         """
         outcome = event.outcome
         became_unresponsive = False
-        if outcome in REPLIES:
+        if outcome in REPLY_OUTCOMES:
             self._health.record_reply(attempt.worker, now_ms)
         if outcome is Outcome.OK:
             self._record_served(event, attempt, now_ms)
@@ -84,12 +84,12 @@
         Returns:
             Whether the worker has just become unresponsive.
         """
-        if event.outcome not in REPORT_REPLIES:
+        if event.outcome not in REPORT_REPLY_OUTCOMES:
             return self._health.record_no_reply(worker, event.outcome, now_ms)
         pool = function.pool_at(worker)
         if worker.unresponsive_since_ms is not None and pool.count and not event.instances:
             worker.started_ms = now_ms
-        self._health.record_reply(worker, now_ms, silent_for_ms=PING_INTERVAL_MS)
+        self._health.record_reply(worker, now_ms, reply_grace_ms=PING_INTERVAL_MS)
         self._instances.record_report(event, pool, function.concurrency, now_ms)
         return False
 
@@ -101,5 +101,5 @@
         """
         if event.outcome is not Outcome.OK:
             return self._health.record_no_reply(worker, event.outcome, now_ms)
-        self._health.record_reply(worker, now_ms, silent_for_ms=PING_INTERVAL_MS)
+        self._health.record_reply(worker, now_ms, reply_grace_ms=PING_INTERVAL_MS)
         return False
--- a/function_router/decisions/fleet.py
+++ b/function_router/decisions/fleet.py
@@ -43,10 +43,10 @@
         self.workers.update(event)
         self.health.recount_unresponsive()
 
-    def forget_unused(self, now_ms: float) -> None:
+    def evict_unused(self, now_ms: float) -> None:
         """Drop idle functions, and workers that were removed long ago."""
-        self.functions.forget_idle(self.workers.by_id.values(), now_ms)
-        for worker in self.workers.forget_removed(now_ms):
-            self.functions.forget_worker(worker)
-            self.health.forget_worker(worker)
-            self.leases.forget_worker(worker)
+        self.functions.evict_idle(self.workers.by_id.values(), now_ms)
+        for worker in self.workers.evict_removed(now_ms):
+            self.functions.remove_worker(worker)
+            self.health.remove_worker(worker)
+            self.leases.remove_worker(worker)
--- a/function_router/decisions/functions.py
+++ b/function_router/decisions/functions.py
@@ -36,7 +36,7 @@
         function.hinted_start_ms = event.expected_start_ms or function.hinted_start_ms
         return function
 
-    def forget_idle(self, workers: Iterable[Worker], now_ms: float) -> None:
+    def evict_idle(self, workers: Iterable[Worker], now_ms: float) -> None:
         """Drop functions without recent requests; if the table is full, up to half of all.
 
         Kept in any case are functions with queued requests or pending work at a worker, and the last one
@@ -52,11 +52,11 @@
             if index < surplus or function.arrivals.last_ms < expired_ms:
                 del self.by_name[function.name]
 
-    def forget_worker(self, worker: Worker) -> None:
+    def remove_worker(self, worker: Worker) -> None:
         """Drop all pools at a worker that was dropped."""
         for function in self.by_name.values():
             function.pools.pop(worker.id, None)
-            function.known_workers = None
+            function.workers_with_pool = None
 
 
 def _has_pending_work(function: Function) -> bool:
--- a/function_router/decisions/health.py
+++ b/function_router/decisions/health.py
@@ -22,11 +22,11 @@
 MIN_SILENCE_MS = 300.0
 
 # An attempt, or a silent worker, is overdue after this many median runs.
-OVERDUE_RUNS = 3.0
+OVERDUE_AFTER_RUNS = 3.0
 
 # An attempt is presumed lost after this many. With many routers, a silent worker is pinged only then; until
 # then, it is just not preferred.
-LOST_RUNS = 8.0
+LOST_AFTER_RUNS = 8.0
 
 # A worker that doesn't answer a ping for this long is unresponsive.
 PING_TIMEOUT_MS = 80.0
@@ -84,26 +84,26 @@
 
     def is_preferable(self, worker: Worker, now_ms: float) -> bool:
         """Whether a worker is neither slow nor silent."""
-        return worker.slow_until_ms <= now_ms and not self.is_silent(worker, OVERDUE_RUNS, now_ms)
+        return worker.slow_until_ms <= now_ms and not self.is_silent(worker, OVERDUE_AFTER_RUNS, now_ms)
 
     def recount_unresponsive(self) -> None:
         """Recount the unresponsive workers after a change of the ready ones."""
         ready = self._workers.ready
         self._unresponsive_count = sum(worker.unresponsive_since_ms is not None for worker in ready)
 
-    def forget_worker(self, worker: Worker) -> None:
+    def remove_worker(self, worker: Worker) -> None:
         """Stop watching a worker that is gone for good."""
         self._watched.pop(worker.id, None)
 
-    def expect_reply(self, worker: Worker, now_ms: float, *, silent_for_ms: float = 0.0) -> None:
-        """Expect a reply from a worker; its silence counts only after `silent_for_ms`."""
+    def expect_reply(self, worker: Worker, now_ms: float, *, reply_grace_ms: float = 0.0) -> None:
+        """Expect a reply from a worker; its silence counts only after `reply_grace_ms`."""
         if worker.awaiting_reply_since_ms is None:
-            worker.awaiting_reply_since_ms = now_ms + silent_for_ms
+            worker.awaiting_reply_since_ms = now_ms + reply_grace_ms
             self._watched[worker.id] = worker
 
-    def record_reply(self, worker: Worker, now_ms: float, *, silent_for_ms: float = 0.0) -> None:
-        """Record a reply of a worker; if it owes more, its silence counts only after `silent_for_ms`."""
-        worker.awaiting_reply_since_ms = now_ms + silent_for_ms if worker.in_flight else None
+    def record_reply(self, worker: Worker, now_ms: float, *, reply_grace_ms: float = 0.0) -> None:
+        """Record a reply of a worker; if it owes more, its silence counts only after `reply_grace_ms`."""
+        worker.awaiting_reply_since_ms = now_ms + reply_grace_ms if worker.in_flight else None
         worker.pinged_ms = None
         if worker.unresponsive_since_ms is None:
             return
@@ -122,8 +122,8 @@
         """
         if outcome is Outcome.CONNECT_FAILED:
             return self.mark_unresponsive(worker, now_ms)
-        is_trusted = worker.unresponsive_since_ms is None and worker.pinged_ms is None
-        if outcome is Outcome.RESET and is_trusted:
+        was_responsive = worker.unresponsive_since_ms is None and worker.pinged_ms is None
+        if outcome is Outcome.RESET and was_responsive:
             self._ping(worker, now_ms)
         return False
 
@@ -149,7 +149,9 @@
                     yield worker
             elif worker.awaiting_reply_since_ms is None:
                 del self._watched[worker.id]
-            elif self.is_silent(worker, LOST_RUNS if self._capacity.many_routers else OVERDUE_RUNS, now_ms):
+            elif self.is_silent(
+                worker, LOST_AFTER_RUNS if self._capacity.many_routers else OVERDUE_AFTER_RUNS, now_ms
+            ):
                 self._ping(worker, now_ms)
 
     def mark_unresponsive(self, worker: Worker, now_ms: float) -> bool:
--- a/function_router/decisions/instances.py
+++ b/function_router/decisions/instances.py
@@ -14,7 +14,7 @@
 from function_router.decisions.types import Outcome, StartKind
 
 # Unless there are many routers, a report or an observation older than this is verified by a probe.
-FRESH_MS = 1_000.0
+UNVERIFIED_AFTER_MS = 1_000.0
 
 # With many routers, an idle instance is believed to exist for this long after it was last seen.
 SHARED_INSTANCE_TTL_MS = 30_000.0
@@ -27,7 +27,7 @@
     """Whether a worker has a free slot for a request."""
 
     NONE = 0  # all slots are taken, or the worker is blocked
-    DOUBTFUL = 1  # there should be one, but the worker has to be probed first
+    UNVERIFIED = 1  # there should be one, but the worker has to be probed first
     FREE = 2
 
 
@@ -58,12 +58,16 @@
         slots = request.concurrency
         if now_ms < pool.blocked_until_ms or self.count(pool, worker, now_ms) * slots <= pool.in_flight:
             return SlotState.NONE
-        if self._capacity.many_routers or not self._can_probe or now_ms - pool.last_counted_ms < FRESH_MS:
+        if (
+            self._capacity.many_routers
+            or not self._can_probe
+            or now_ms - pool.last_counted_ms < UNVERIFIED_AFTER_MS
+        ):
             return SlotState.FREE
-        seen_instances = 1 if now_ms - pool.last_seen_ms < FRESH_MS else 0
+        seen_instances = 1 if now_ms - pool.last_seen_ms < UNVERIFIED_AFTER_MS else 0
         busy_instances = -(-pool.in_flight // slots)  # rounded up
         proven_slots = max(busy_instances, seen_instances) * slots
-        return SlotState.FREE if proven_slots > pool.in_flight else SlotState.DOUBTFUL
+        return SlotState.FREE if proven_slots > pool.in_flight else SlotState.UNVERIFIED
 
     def record_served(self, event: AttemptEnded, attempt: Attempt, now_ms: float) -> None:
         """Record that an instance has answered.
@@ -86,7 +90,7 @@
         is_speculative_start = pool.is_speculative and pool.is_start_report(event)
         if is_speculative_start and event.outcome is Outcome.OK:
             pool.unused_since_ms = now_ms
-            pool.slots_before = pool.count * concurrency
+            pool.slots_before_start = pool.count * concurrency
         pool.count = event.instances
         pool.last_counted_ms = now_ms
         pool.last_seen_ms = now_ms
--- a/function_router/decisions/placement.py
+++ b/function_router/decisions/placement.py
@@ -31,7 +31,7 @@
 
 # Other workers are probed for a warm function only past this multiple: sampling noise alone takes many
 # workers past the factor above.
-FAR_SEND_SHARE_FACTOR = 2.0
+PROBE_SEND_SHARE_FACTOR = 2.0
 
 # The fan-out is chosen so that, on average, each preferred worker has requests for at most this many
 # instances, and for at most this fraction of its capacity.
@@ -74,15 +74,15 @@
             }
             function.hash_order = sorted(rank, key=rank.__getitem__)
             function.hash_order_sizes = sizes
-            function.known_workers = None
+            function.workers_with_pool = None
         return function.hash_order
 
-    def known_workers(self, function: Function) -> list[Worker]:
+    def workers_with_pool(self, function: Function) -> list[Worker]:
         """The ready workers at which the function has a pool, in hash order."""
         order = self.hash_order(function)
-        if function.known_workers is None:
-            function.known_workers = [worker for worker in order if worker.id in function.pools]
-        return function.known_workers
+        if function.workers_with_pool is None:
+            function.workers_with_pool = [worker for worker in order if worker.id in function.pools]
+        return function.workers_with_pool
 
     def preferred_workers(self, function: Function, request: Request, now_ms: float) -> list[Worker]:
         """The first workers with headroom in hash order, or the first ones of all if none has any.
@@ -100,13 +100,13 @@
 
     def candidates(self, function: Function, request: Request, now_ms: float) -> list[Worker]:
         """The workers that may have an instance, in the order in which a request tries them."""
-        known = self.known_workers(function)
+        with_pool = self.workers_with_pool(function)
         if not self._capacity.many_routers:
-            return known
+            return with_pool
         preferred = self.preferred_workers(function, request, now_ms)
-        known_preferred = [worker for worker in preferred if worker.id in function.pools]
-        by_headroom = sorted(known, key=lambda worker: not self.has_headroom(worker, now_ms))
-        return list(dict.fromkeys(known_preferred + by_headroom))
+        preferred_with_pool = [worker for worker in preferred if worker.id in function.pools]
+        by_headroom = sorted(with_pool, key=lambda worker: not self.has_headroom(worker, now_ms))
+        return list(dict.fromkeys(preferred_with_pool + by_headroom))
 
     def has_headroom(self, worker: Worker, now_ms: float, factor: float = SEND_SHARE_FACTOR) -> bool:
         """Whether a worker is below a multiple of its fair share of sends, and neither slow nor silent."""
@@ -118,14 +118,14 @@
 
     def is_warm(self, function: Function, now_ms: float) -> bool:
         """Whether a usable worker is believed to have an instance."""
-        return any(self._is_warm_at(function, worker, now_ms) for worker in self.known_workers(function))
+        return any(self._is_warm_at(function, worker, now_ms) for worker in self.workers_with_pool(function))
 
-    def is_warm_near_share(self, function: Function, now_ms: float) -> bool:
+    def is_warm_with_headroom(self, function: Function, now_ms: float) -> bool:
         """Whether a usable worker that is not far past its share is believed to have an instance."""
         return any(
             self._is_warm_at(function, worker, now_ms)
-            and self.has_headroom(worker, now_ms, FAR_SEND_SHARE_FACTOR)
-            for worker in self.known_workers(function)
+            and self.has_headroom(worker, now_ms, PROBE_SEND_SHARE_FACTOR)
+            for worker in self.workers_with_pool(function)
         )
 
     def _is_warm_at(self, function: Function, worker: Worker, now_ms: float) -> bool:
--- a/function_router/decisions/records.py
+++ b/function_router/decisions/records.py
@@ -41,7 +41,7 @@
     ready_as_of_ms: float = -math.inf  # it was ready then: when the question was asked that it answered so
     process_seen_ms: float = -math.inf  # its present process ran then
     drain_reported_ms: float | None = None  # when it last said that it drains, unless it was ready since
-    asked_ms: float | None = None  # when the pending health check was decided
+    pending_check_ms: float | None = None  # when the pending health check was decided
     next_check_ms: float = -math.inf  # it is not asked again before
     recheck_interval_ms: float = 1_000.0  # until the next check, if it gives no answer or drains
 
@@ -119,7 +119,7 @@
     ordered_count: int = 0  # instances that the last start order asked for
     is_speculative: bool = False  # that order races a busy warm instance
     unused_since_ms: float | None = None  # since when a speculative instance has been idle
-    slots_before: int = 0  # slots that there were before that instance came
+    slots_before_start: int = 0  # slots that there were before that instance came
 
     def is_start_report(self, event: InstancesReported) -> bool:
         """Whether a report answers the pending start order, and not a probe.
@@ -183,7 +183,7 @@
     queue: list[Request] = []
     pools: dict[int, InstancePool] = {}  # by worker id
     last_probed_ms: float = -math.inf  # at any worker
-    awaits_proof: bool = False  # a worker with a free slot has just been asked whether it is ready
+    awaits_check: bool = False  # a worker with a free slot has just been asked whether it is ready
 
     # Load and placement.
     arrivals: ArrivalRate = field(default_factory=lambda: ArrivalRate(ARRIVAL_DECAY_MS, ARRIVAL_BURST))
@@ -191,7 +191,7 @@
     fanout: int = 1  # number of preferred workers
     hash_order: list[Worker] = []  # cached; see `Placement.hash_order`
     hash_order_sizes: dict[int, float] | None = None  # the workers and sizes for which it is cached
-    known_workers: list[Worker] | None = None  # cached; see `Placement.known_workers`
+    workers_with_pool: list[Worker] | None = None  # cached; see `Placement.workers_with_pool`
 
     # Waiting or starting.
     run_times: SlidingMedian = field(default_factory=new_median)  # the median is Te
@@ -207,5 +207,5 @@
         if pool is None:
             pool = InstancePool()
             self.pools[worker.id] = pool
-            self.known_workers = None
+            self.workers_with_pool = None
         return pool
--- a/function_router/decisions/retries.py
+++ b/function_router/decisions/retries.py
@@ -3,7 +3,7 @@
 from function_router.decisions.answers import Answers
 from function_router.decisions.dispatch import Dispatcher
 from function_router.decisions.fleet import Fleet
-from function_router.decisions.health import LOST_RUNS, OVERDUE_RUNS
+from function_router.decisions.health import LOST_AFTER_RUNS, OVERDUE_AFTER_RUNS
 from function_router.decisions.records import Attempt, Request, Worker
 from function_router.decisions.requests import OpenRequests
 from function_router.decisions.retry_policy import RetryPolicy
@@ -67,7 +67,7 @@
 
     def hedge_if_overdue(self, request: Request, now_ms: float) -> None:
         """Queue a request for another attempt if its last one is overdue and the hedge budget allows it."""
-        runs_ms = OVERDUE_RUNS * self._durations.median_run_ms(request.function, now_ms)
+        runs_ms = OVERDUE_AFTER_RUNS * self._durations.median_run_ms(request.function, now_ms)
         objective_ms = request.request_class.latency_objective_ms
         limit_ms = min(runs_ms, objective_ms * OVERDUE_OBJECTIVE_FRACTION)
         attempt = request.attempts[-1]
@@ -99,7 +99,7 @@
     def _takes_too_long(self, attempt: Attempt, now_ms: float) -> bool:
         """Whether an attempt takes far longer than a run; less is enough if the breaker is tripped."""
         has_failures = self._breakers.is_tripped(attempt.worker, attempt.class_name)
-        runs = OVERDUE_RUNS if has_failures else LOST_RUNS
+        runs = OVERDUE_AFTER_RUNS if has_failures else LOST_AFTER_RUNS
         run_ms = max(
             self._durations.median_run_ms(attempt.function, now_ms),
             self._durations.median_run_of_all_ms(now_ms),
--- a/function_router/decisions/router.py
+++ b/function_router/decisions/router.py
@@ -28,11 +28,11 @@
 from function_router.hashing import mix64
 
 # Idle functions and removed workers are forgotten this often.
-FORGET_INTERVAL_MS = 15_000.0
+EVICTION_INTERVAL_MS = 15_000.0
 
 # After these, a worker has to prove again that it is ready: nothing was sent for want of a connection to the
 # process that did, or that process may have gone.
-OUTCOMES_THAT_END_A_LEASE = (Outcome.NOT_SENT, Outcome.RESET, Outcome.CONNECT_FAILED)
+LEASE_REVOKING_OUTCOMES = (Outcome.NOT_SENT, Outcome.RESET, Outcome.CONNECT_FAILED)
 
 
 class Router:
@@ -47,7 +47,7 @@
         self.settings = settings
         self._next_seed = seed
         self._is_timer_set = False
-        self._forgot_ms = -math.inf
+        self._evicted_ms = -math.inf
         self._outbox = Outbox()
         self.fleet = Fleet(settings, seed, self._outbox)
         self.requests = OpenRequests()
@@ -181,7 +181,7 @@
         """The record of a new request, with its function, class, deadline and random bits."""
         functions = self.fleet.functions
         if functions.is_full() and event.function not in functions.by_name:
-            self.fleet.forget_unused(now_ms)
+            self.fleet.evict_unused(now_ms)
         function = functions.get_or_add(event)
         random_bits = mix64(mix64(self._next_seed))
         self._next_seed += 1
@@ -246,7 +246,7 @@
 
     def _revoke_lease_after(self, outcome: Outcome, worker: Worker) -> None:
         """End a worker's lease where an exchange shows that its process or its connections may have gone."""
-        if outcome in OUTCOMES_THAT_END_A_LEASE:
+        if outcome in LEASE_REVOKING_OUTCOMES:
             self.fleet.leases.revoke(worker)
 
     def _on_timer_fired(self, _event: events.TimerFired, now_ms: float) -> None:
@@ -265,7 +265,7 @@
             self._retries.retry_elsewhere(worker, now_ms)
         if capacity.is_refresh_due(now_ms):
             self._refresh(now_ms)
-        if self._dispatcher.has_waiting() and not self._admission.is_at_limit():
+        if self._dispatcher.has_waiting_functions() and not self._admission.is_at_limit():
             self._dispatcher.dispatch_all(now_ms)
 
     def _on_drain_started(self, event: events.DrainStarted, now_ms: float) -> None:
@@ -275,7 +275,7 @@
 
     def _refresh(self, now_ms: float) -> None:
         """Recompute the limits, and now and then forget what is no longer used."""
-        if now_ms - self._forgot_ms >= FORGET_INTERVAL_MS:
-            self._forgot_ms = now_ms
-            self.fleet.forget_unused(now_ms)
+        if now_ms - self._evicted_ms >= EVICTION_INTERVAL_MS:
+            self._evicted_ms = now_ms
+            self.fleet.evict_unused(now_ms)
         self.fleet.capacity.refresh(now_ms)
--- a/function_router/decisions/scaling.py
+++ b/function_router/decisions/scaling.py
@@ -54,29 +54,29 @@
         One start serves as many requests as an instance has slots. Pending ones count as well. There is none
         while an answer is expected that may make one unnecessary.
         """
-        if function.awaits_proof or self._has_recent_probe(function, now_ms):
+        if function.awaits_check or self._has_recent_probe(function, now_ms):
             return
         is_warm = self._placement.is_warm(function, now_ms)
         pending = self._count_pending_starts(function, now_ms)
-        waiting = self._count_requests_worth_a_start(function, now_ms, is_warm=is_warm)
+        waiting = self._count_requests_needing_start(function, now_ms, is_warm=is_warm)
         if is_warm and (self._admission.is_at_limit() or not self._speculation.update(function, now_ms)):
             return
         for _ in range(math.ceil(waiting / function.concurrency) - pending):
             worker = self._start_orders.choose_worker(function, now_ms, is_speculative=is_warm)
             if worker is None:
                 return
-            if not self._start_orders.order_if_proven(function, worker, now_ms, is_speculative=is_warm):
+            if not self._start_orders.order_if_lease_valid(function, worker, now_ms, is_speculative=is_warm):
                 return
 
     def _count_pending_starts(self, function: Function, now_ms: float) -> int:
         """The number of pending start orders at usable workers."""
         return sum(
             function.pools[worker.id].start_ordered_ms is not None
-            for worker in self._placement.known_workers(function)
+            for worker in self._placement.workers_with_pool(function)
             if self._health.is_usable(worker, function.class_name, now_ms)
         )
 
-    def _count_requests_worth_a_start(self, function: Function, now_ms: float, *, is_warm: bool) -> int:
+    def _count_requests_needing_start(self, function: Function, now_ms: float, *, is_warm: bool) -> int:
         """The number of queued requests for which starts are ordered.
 
         If there is a warm instance, requests over quota wait for it. With many routers, so do those that
@@ -99,7 +99,7 @@
         With many routers, each asks only its first preferred worker, which is mostly the same for all.
         """
         if self._capacity.many_routers:
-            if self._placement.is_warm_near_share(function, now_ms):
+            if self._placement.is_warm_with_headroom(function, now_ms):
                 return
             workers = self._placement.preferred_workers(function, request, now_ms)[:1]
         else:
@@ -123,12 +123,12 @@
         if now_ms - pool.last_probed_ms > PROBE_TTL_MS:
             self._health.probe(function, worker, now_ms)
         elif may_start and self._start_orders.can_start_at(function, worker, now_ms, is_speculative=is_warm):
-            self._start_orders.order_if_proven(function, worker, now_ms, is_speculative=is_warm)
+            self._start_orders.order_if_lease_valid(function, worker, now_ms, is_speculative=is_warm)
 
     def has_free_slot_or_probe(self, request: Request, worker: Worker, now_ms: float) -> bool:
         """Whether a worker has a free slot for a request; if that is in doubt, the worker is probed."""
         state = self._instances.slot_state(request, worker, now_ms)
-        if state is not SlotState.DOUBTFUL:
+        if state is not SlotState.UNVERIFIED:
             return state is SlotState.FREE
         function = request.function
         is_usable = self._health.is_usable(worker, function.class_name, now_ms)
--- a/function_router/decisions/slow_start.py
+++ b/function_router/decisions/slow_start.py
@@ -12,7 +12,7 @@
 from function_router.hashing import mix64
 
 # Only this fraction of the budget is used, as capacities and the sends of other routers are estimates.
-BUDGET_SAFETY = 0.75
+BUDGET_SAFETY_FACTOR = 0.75
 
 # Requests of all routers in a window that a worker gets however small its budget is. The operator's rule
 # allows for three, as sampling noise.
@@ -45,9 +45,9 @@
         if share >= 1.0:
             return True
         window_ms = self._settings.overload_window_ms
-        worker.slow_start_sends.forget_before(now_ms - window_ms, inclusive=True)
+        worker.slow_start_sends.remove_before(now_ms - window_ms, inclusive=True)
         rate = self._usual_rate(worker, now_ms)
-        budget = BUDGET_SAFETY * self._settings.overload_multiple * share * window_ms * rate
+        budget = BUDGET_SAFETY_FACTOR * self._settings.overload_multiple * share * window_ms * rate
         budget += MIN_BUDGET / self._router_count
         return len(worker.slow_start_sends) + 1 <= budget + self._rounding_offset(worker)
 
@@ -71,6 +71,6 @@
     def record_send(self, worker: Worker, now_ms: float) -> None:
         """Count a send. Recent ones are always kept, as a worker's start may be notified after them."""
         worker.recent_sends.add(now_ms)
-        worker.recent_sends.forget_before(now_ms - self._settings.overload_window_ms)
+        worker.recent_sends.remove_before(now_ms - self._settings.overload_window_ms)
         if self.capacity_share(worker, now_ms) < 1.0:
             worker.slow_start_sends.add(now_ms)
--- a/function_router/decisions/start_order_limits.py
+++ b/function_router/decisions/start_order_limits.py
@@ -40,7 +40,7 @@
         settings = self._settings
         window_ms = settings.start_order_window_ms
         # An order counts from its decision, but may be sent later by the delay: it is kept for longer by it.
-        self.sent.forget_before(now_ms - window_ms - settings.tick_ms - MAX_START_ORDER_DELAY_MS)
+        self.sent.remove_before(now_ms - window_ms - settings.tick_ms - MAX_START_ORDER_DELAY_MS)
         self._arrivals.drop_old(now_ms)
         requests = len(self._arrivals.recent)
         allowed = settings.start_order_burst + settings.start_orders_per_request * requests
--- a/function_router/decisions/start_orders.py
+++ b/function_router/decisions/start_orders.py
@@ -1,7 +1,7 @@
 """Start orders: at which worker an instance is started, and how starts are recorded."""
 
 from function_router.decisions.actions import EnsureInstances
-from function_router.decisions.endpoint_leases import Proof
+from function_router.decisions.endpoint_leases import LeaseStatus
 from function_router.decisions.fleet import Fleet
 from function_router.decisions.outbox import Outbox
 from function_router.decisions.records import Function, InstancePool, Worker
@@ -66,40 +66,42 @@
             return None
         preferred = self._placement.preferred_workers(function, function.queue[0], now_ms)
         order = preferred + self._placement.hash_order(function)
-        able = (
+        eligible = (
             worker
             for worker in order
             if self.can_start_at(function, worker, now_ms, is_speculative=is_speculative)
-            and self._may_be_proven(function, worker, now_ms)
+            and self._may_get_lease(function, worker, now_ms)
         )
-        best = (
+        preferable = (
             worker
             for worker in order
-            if self._has_room_for_first(function, worker, now_ms)
+            if self._can_host_first_instance(function, worker, now_ms)
             and self.can_start_at(function, worker, now_ms, is_speculative=is_speculative)
-            and self._may_be_proven(function, worker, now_ms)
+            and self._may_get_lease(function, worker, now_ms)
         )
-        return next(best, None) or next(able, None)
+        return next(preferable, None) or next(eligible, None)
 
-    def _has_room_for_first(self, function: Function, worker: Worker, now_ms: float) -> bool:
+    def _can_host_first_instance(self, function: Function, worker: Worker, now_ms: float) -> bool:
         """Whether a worker has no instance yet, and is below its load bound."""
         pool = function.pools.get(worker.id)
         if pool is not None and self._instances.count(pool, worker, now_ms):
             return False
         return self._placement.is_below_load_bound(worker, len(self._requests.attempts), now_ms)
 
-    def _may_be_proven(self, function: Function, worker: Worker, now_ms: float) -> bool:
+    def _may_get_lease(self, function: Function, worker: Worker, now_ms: float) -> bool:
         """Whether a worker is proven to be ready, or has just been asked."""
-        return self._leases.prove(worker, function.name, now_ms, may_ask=True) is not Proof.MISSING
+        return (
+            self._leases.check_lease(worker, function.name, now_ms, may_check=True) is not LeaseStatus.MISSING
+        )
 
-    def order_if_proven(
+    def order_if_lease_valid(
         self, function: Function, worker: Worker, now_ms: float, *, is_speculative: bool
     ) -> bool:
         """Order one more instance at a worker that is proven to be ready; False if none was ordered."""
-        proof = self._leases.prove(worker, function.name, now_ms, may_ask=True)
-        if proof is Proof.VALID:
+        status = self._leases.check_lease(worker, function.name, now_ms, may_check=True)
+        if status is LeaseStatus.VALID:
             self.order(function, worker, now_ms, is_speculative=is_speculative)
-        return proof is Proof.VALID
+        return status is LeaseStatus.VALID
 
     def order(self, function: Function, worker: Worker, now_ms: float, *, is_speculative: bool) -> None:
         """Order one more instance than a worker is believed to have, and expect no reply while it starts."""
@@ -109,7 +111,7 @@
         pool.ordered_count = min(MAX_INSTANCES_AT_WORKER, self._instances.count(pool, worker, now_ms) + 1)
         self._limits.record_order(now_ms)
         start_ms = self._durations.median_start_ms(function, now_ms)
-        self._health.expect_reply(worker, now_ms, silent_for_ms=start_ms)
+        self._health.expect_reply(worker, now_ms, reply_grace_ms=start_ms)
         self._outbox.add(EnsureInstances(worker.id, function.name, pool.ordered_count))
 
     def record_end(self, function: Function, pool: InstancePool, outcome: Outcome, now_ms: float) -> None:
--- a/function_router/decisions/workers.py
+++ b/function_router/decisions/workers.py
@@ -78,16 +78,16 @@
                 worker.lease.drain_reported_ms = None
             worker.recount_slow_start_sends()
 
-    def forget_removed(self, now_ms: float) -> list[Worker]:
+    def evict_removed(self, now_ms: float) -> list[Worker]:
         """Drop and return the workers that were removed long ago and have no attempts in flight."""
         expired_ms = now_ms - REMOVED_WORKER_TTL_MS
-        forgotten = []
+        evicted = []
         for worker in self.by_id.values():
             if worker.endpoint.state is not WorkerState.REMOVED:
                 continue
             worker.removed_since_ms = worker.removed_since_ms or now_ms
             if worker.removed_since_ms < expired_ms and not worker.in_flight:
-                forgotten.append(worker)
-        for worker in forgotten:
+                evicted.append(worker)
+        for worker in evicted:
             del self.by_id[worker.id]
-        return forgotten
+        return evicted
--- a/function_router/limits.py
+++ b/function_router/limits.py
@@ -53,18 +53,18 @@
     """
 
     __slots__ = (
+        "_decay_factor",
         "_failures",
-        "_kept_fraction",
         "_max_open_ms",
         "_open_for_ms",
         "_open_until_ms",
         "_threshold",
     )
 
-    def __init__(self, threshold: float, kept_fraction: float, open_ms: float, max_open_ms: float) -> None:
+    def __init__(self, threshold: float, decay_factor: float, open_ms: float, max_open_ms: float) -> None:
         """Open at `threshold` failures, for `open_ms` at first; a success keeps this fraction of them."""
         self._threshold = threshold
-        self._kept_fraction = kept_fraction
+        self._decay_factor = decay_factor
         self._open_for_ms = open_ms
         self._max_open_ms = max_open_ms
         self._failures = 0.0
@@ -94,9 +94,9 @@
         if self.is_tripped:
             self._open_until_ms = max(self._open_until_ms, now_ms + self._open_for_ms)
 
-    def record_success(self, *, was_failure: bool) -> None:
+    def record_success(self, *, was_counted_as_failure: bool) -> None:
         """Take back the one failure that this success was counted as before, or else a fraction of all."""
-        self._failures = self._failures - 1 if was_failure else self._failures * self._kept_fraction
+        self._failures = self._failures - 1 if was_counted_as_failure else self._failures * self._decay_factor
 
     def record_trial(self, now_ms: float) -> None:
         """Note that a request passes: a tripped breaker opens again at once, for twice as long."""
--- a/function_router/statistics.py
+++ b/function_router/statistics.py
@@ -101,7 +101,7 @@
         if time_ms in self._times_ms:
             self._times_ms.remove(time_ms)
 
-    def forget_before(self, time_ms: float, *, inclusive: bool = False) -> None:
+    def remove_before(self, time_ms: float, *, inclusive: bool = False) -> None:
         """Drop entries before `time_ms`, or at it too if `inclusive`."""
         times_ms = self._times_ms
         while times_ms and (times_ms[0] < time_ms or (inclusive and times_ms[0] == time_ms)):
--- a/tests/decisions/conftest.py
+++ b/tests/decisions/conftest.py
@@ -11,7 +11,7 @@
 
 
 @pytest.fixture
-def asking(harness):
+def checking(harness):
     """The same router when the list has expired and its warm worker has just been asked for a request."""
     harness.let_list_expire()
     harness.request("r1")
--- a/tests/decisions/test_circuit_breakers.py
+++ b/tests/decisions/test_circuit_breakers.py
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("count", [2, 3])
-def test_answers_that_come_after_all_close_the_breaker(count):
+def test_late_answers_close_the_breaker(count):
     lost_answers = lose_answers(count)
     harness = lost_answers.harness
     assert harness.worker(lost_answers.worker_id).breakers
--- a/tests/decisions/test_endpoint_leases.py
+++ b/tests/decisions/test_endpoint_leases.py
@@ -8,8 +8,8 @@
 
 from function_router.decisions.actions import LogMessage, NoteWithheld, SendRequest
 from function_router.decisions.endpoint_leases import (
-    CHECK_AHEAD_MS,
-    CHECK_PATIENCE_MS,
+    CHECK_LEAD_MS,
+    CHECK_WAIT_MS,
     MAX_LOG_SILENCE_MS,
     RECHECK_INTERVAL_MS,
     RENEWAL_LEAD_MS,
@@ -23,7 +23,7 @@
 # --- the lease on the list
 
 
-def test_list_is_always_believed_without_news_of_the_log():
+def test_list_is_always_current_without_reports_about_the_log():
     harness = DecisionHarness()
 
     harness.now_ms = 1e9
@@ -32,14 +32,14 @@
     assert harness.router.latest_connection_ms(1, harness.now_ms) == math.inf
 
 
-def test_list_is_believed_until_the_grace_after_the_silence_that_is_tolerated(harness):
+def test_list_is_current_for_one_lease_beyond_the_tolerated_log_silence(harness):
     until_ms = harness.now_ms + MAX_LOG_SILENCE_MS + LEASE_MS
 
     assert harness.router.is_endpoint_list_current(until_ms - 1)
     assert not harness.router.is_endpoint_list_current(until_ms)
 
 
-def test_interrupted_list_is_believed_for_the_grace_from_the_first_interruption_on(harness):
+def test_interrupted_list_is_current_for_one_lease_from_the_first_interruption(harness):
     harness.feed(EndpointListInterrupted())
     until_ms = harness.now_ms + LEASE_MS
     harness.now_ms += 200.0
@@ -49,7 +49,7 @@
     assert not harness.router.is_endpoint_list_current(until_ms)
 
 
-def test_list_that_was_never_confirmed_is_believed_for_the_grace():
+def test_list_that_was_never_confirmed_is_current_for_one_lease():
     harness = DecisionHarness(drain_grace_ms=GRACE_MS)
     harness.feed(EndpointListInterrupted())
 
@@ -57,7 +57,7 @@
     assert not harness.router.is_endpoint_list_current(LEASE_MS)
 
 
-def test_confirmation_of_long_ago_does_not_renew_the_lease(harness):
+def test_old_confirmation_does_not_renew_the_lease(harness):
     confirmed_ms = harness.now_ms
     harness.now_ms += 5_000.0
 
@@ -66,7 +66,7 @@
     assert not harness.router.is_endpoint_list_current(harness.now_ms)
 
 
-def test_grace_of_the_settings_counts():
+def test_lease_follows_the_drain_grace_of_the_settings():
     harness = LeaseHarness()
     short = DecisionHarness(drain_grace_ms=300.0)
     short.feed(EndpointListInterrupted())
@@ -78,16 +78,16 @@
 # --- sends
 
 
-def test_no_worker_is_asked_while_the_list_is_current(harness):
+def test_no_health_check_is_sent_while_the_list_is_current(harness):
     actions = harness.request("r1")
 
     assert sent_to(actions) == [harness.warm_id]
     assert checked(actions) == []
 
 
-def test_worker_that_gets_work_is_asked_shortly_before_the_list_expires(harness):
+def test_worker_in_use_is_checked_shortly_before_the_list_expires(harness):
     harness.feed(EndpointListInterrupted())
-    harness.now_ms += LEASE_MS - CHECK_AHEAD_MS
+    harness.now_ms += LEASE_MS - CHECK_LEAD_MS
 
     actions = harness.request("r1")
 
@@ -95,7 +95,7 @@
     assert checked(actions) == [harness.warm_id]
 
 
-def test_request_waits_for_the_answer_of_its_worker(harness):
+def test_request_waits_for_the_health_check_of_its_worker(harness):
     harness.let_list_expire()
 
     actions = harness.request("r1")
@@ -106,61 +106,61 @@
     assert sent_to(answered) == [harness.warm_id]
 
 
-def test_lease_counts_from_the_question_and_is_renewed_in_use(asking):
-    asked_ms = asking.now_ms
-    asking.end_attempt(*actions_of(asking.answer_check(asking.warm_id), SendRequest))
-    asking.now_ms = asked_ms + LEASE_MS - RENEWAL_LEAD_MS - 1
-    early = asking.request("r2")
-    asking.end_attempt(*actions_of(early, SendRequest))
-    asking.now_ms = asked_ms + LEASE_MS - 1
+def test_lease_counts_from_the_health_check_and_is_renewed_in_use(checking):
+    checked_at_ms = checking.now_ms
+    checking.end_attempt(*actions_of(checking.answer_check(checking.warm_id), SendRequest))
+    checking.now_ms = checked_at_ms + LEASE_MS - RENEWAL_LEAD_MS - 1
+    early = checking.request("r2")
+    checking.end_attempt(*actions_of(early, SendRequest))
+    checking.now_ms = checked_at_ms + LEASE_MS - 1
 
-    late = asking.request("r3")
+    late = checking.request("r3")
 
-    assert (sent_to(early), checked(early)) == ([asking.warm_id], [])
-    assert (sent_to(late), checked(late)) == ([asking.warm_id], [asking.warm_id])
-    assert asking.leases.is_proven(asking.worker(asking.warm_id), asked_ms + LEASE_MS - 1)
-    assert not asking.leases.is_proven(asking.worker(asking.warm_id), asked_ms + LEASE_MS)
+    assert (sent_to(early), checked(early)) == ([checking.warm_id], [])
+    assert (sent_to(late), checked(late)) == ([checking.warm_id], [checking.warm_id])
+    assert checking.leases.has_valid_lease(checking.worker(checking.warm_id), checked_at_ms + LEASE_MS - 1)
+    assert not checking.leases.has_valid_lease(checking.worker(checking.warm_id), checked_at_ms + LEASE_MS)
 
 
-def test_only_one_worker_at_a_time_is_asked_for_a_function(asking):
+def test_only_one_health_check_at_a_time_is_sent_for_a_function(checking):
 
-    actions = asking.request("r2")
+    actions = checking.request("r2")
 
     assert checked(actions) == []
 
 
-def test_worker_that_says_that_it_drains_is_passed_over(asking):
+def test_worker_that_reports_its_drain_gets_no_requests(checking):
 
-    actions = asking.answer_check(asking.warm_id, Readiness.DRAINING)
+    actions = checking.answer_check(checking.warm_id, Readiness.DRAINING)
 
     assert sent_to(actions) == []
-    assert [f"worker {asking.warm_id} says that it is draining"] == [
+    assert [f"worker {checking.warm_id} says that it is draining"] == [
         action.text for action in actions_of(actions, LogMessage)
     ]
-    assert asking.warm_id not in [worker.id for worker in asking.fleet.workers.ready]
-    assert asking.router.latest_connection_ms(asking.warm_id, asking.now_ms) == -math.inf
+    assert checking.warm_id not in [worker.id for worker in checking.fleet.workers.ready]
+    assert checking.router.latest_connection_ms(checking.warm_id, checking.now_ms) == -math.inf
 
 
-def test_instance_is_started_elsewhere_when_its_worker_drains(asking):
-    [other_id] = checked(asking.answer_check(asking.warm_id, Readiness.DRAINING))
+def test_instance_is_started_elsewhere_when_its_worker_drains(checking):
+    [other_id] = checked(checking.answer_check(checking.warm_id, Readiness.DRAINING))
 
-    ordered = start_orders(asking.answer_check(other_id))
+    ordered = start_orders(checking.answer_check(other_id))
 
-    assert other_id != asking.warm_id
+    assert other_id != checking.warm_id
     assert [order.worker_id for order in ordered] == [other_id]
 
 
-def test_without_an_answer_another_worker_is_asked(harness):
+def test_another_worker_is_checked_if_the_first_one_does_not_answer(harness):
     harness.let_list_expire()
     asked = checked(harness.request("r1"))
 
-    harness.now_ms += CHECK_PATIENCE_MS
+    harness.now_ms += CHECK_WAIT_MS
     asked += checked(harness.run_timer_until(harness.now_ms + 20))
 
     assert len(asked) == len(set(asked)) == 2
 
 
-def test_start_order_waits_for_a_proof(harness):
+def test_start_order_waits_for_a_lease(harness):
     harness.let_list_expire()
     actions = harness.answer_probes(harness.request("cold", function="g"))
     actions += harness.run_timer_until(harness.now_ms + 40)
@@ -173,23 +173,23 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
-def test_broken_exchange_ends_the_lease(asking, outcome):
-    [send] = actions_of(asking.answer_check(asking.warm_id), SendRequest)
+def test_failed_exchange_revokes_the_lease(checking, outcome):
+    [send] = actions_of(checking.answer_check(checking.warm_id), SendRequest)
 
-    asking.end_attempt(send, outcome)
+    checking.end_attempt(send, outcome)
 
-    assert not asking.leases.is_proven(asking.worker(asking.warm_id), asking.now_ms)
+    assert not checking.leases.has_valid_lease(checking.worker(checking.warm_id), checking.now_ms)
 
 
-def test_drain_that_is_asked_again_without_an_answer_stays_known(asking):
-    asking.answer_check(asking.warm_id, Readiness.DRAINING)
+def test_reported_drain_outlasts_an_unanswered_health_check(checking):
+    checking.answer_check(checking.warm_id, Readiness.DRAINING)
 
-    asking.answer_check(asking.warm_id, Readiness.UNKNOWN, Outcome.TIMEOUT)
+    checking.answer_check(checking.warm_id, Readiness.UNKNOWN, Outcome.TIMEOUT)
 
-    assert not asking.worker(asking.warm_id).is_ready
+    assert not checking.worker(checking.warm_id).is_ready
 
 
-def test_draining_worker_is_asked_again_at_growing_intervals(harness):
+def test_draining_worker_is_checked_again_at_growing_intervals(harness):
     harness.let_list_expire()
     harness.request("r1", timeout_ms=60_000.0)
     times_ms = []
--- a/tests/decisions/test_endpoint_leases_recovery.py
+++ b/tests/decisions/test_endpoint_leases_recovery.py
@@ -6,9 +6,9 @@
 from helpers.lease_harness import GRACE_MS, LEASE_MS, LeaseHarness, checked, sent_to
 
 from function_router.decisions.endpoint_leases import (
+    CHECK_EXPIRY_MS,
     DRAIN_REPORT_TTL_MS,
     LEASE_MARGIN_MS,
-    LOST_CHECK_MS,
     MAX_LOG_SILENCE_MS,
 )
 from function_router.decisions.events import (
@@ -21,114 +21,114 @@
 # --- restarts
 
 
-def test_same_connection_shows_that_a_worker_has_not_restarted(asking):
-    asking.answer_check(asking.warm_id, Readiness.DRAINING)
+def test_same_connection_shows_that_a_worker_has_not_restarted(checking):
+    checking.answer_check(checking.warm_id, Readiness.DRAINING)
 
-    asking.answer_check(asking.warm_id, lost_at_ms=asking.now_ms)
+    checking.answer_check(checking.warm_id, lost_at_ms=checking.now_ms)
 
-    assert asking.worker(asking.warm_id).latest_start_ms is None
+    assert checking.worker(checking.warm_id).latest_start_ms is None
 
 
 @pytest.mark.parametrize("has_drained", [True, False], ids=["drained", "lost its connections"])
-def test_worker_that_may_have_restarted_is_in_slow_start(asking, has_drained):
+def test_worker_that_may_have_restarted_is_in_slow_start(checking, has_drained):
     if has_drained:
-        asking.answer_check(asking.warm_id, Readiness.DRAINING)
-    lost_at_ms = None if has_drained else asking.now_ms
-    asking.connected_ms = asking.now_ms
+        checking.answer_check(checking.warm_id, Readiness.DRAINING)
+    lost_at_ms = None if has_drained else checking.now_ms
+    checking.connected_ms = checking.now_ms
 
-    asking.answer_check(asking.warm_id, lost_at_ms=lost_at_ms)
+    checking.answer_check(checking.warm_id, lost_at_ms=lost_at_ms)
 
-    assert asking.worker(asking.warm_id).latest_start_ms == asking.connected_ms
-    assert asking.fleet.slow_start.capacity_share(asking.worker(asking.warm_id), asking.now_ms) < 1.0
+    assert checking.worker(checking.warm_id).latest_start_ms == checking.connected_ms
+    assert checking.fleet.slow_start.capacity_share(checking.worker(checking.warm_id), checking.now_ms) < 1.0
 
 
-def test_new_connection_to_a_worker_without_any_sign_of_a_restart_is_no_restart(asking):
-    asking.connected_ms = asking.now_ms
+def test_new_connection_alone_does_not_count_as_a_restart(checking):
+    checking.connected_ms = checking.now_ms
 
-    asking.answer_check(asking.warm_id)
+    checking.answer_check(checking.warm_id)
 
-    assert asking.worker(asking.warm_id).latest_start_ms is None
+    assert checking.worker(checking.warm_id).latest_start_ms is None
 
 
-def test_connection_later_than_the_proof_carries_no_new_work(asking):
-    asked_ms = asking.now_ms
+def test_connection_established_after_the_health_check_carries_no_new_work(checking):
+    checked_at_ms = checking.now_ms
 
-    asking.answer_check(asking.warm_id)
+    checking.answer_check(checking.warm_id)
 
-    assert asking.router.latest_connection_ms(asking.warm_id, asking.now_ms) == asked_ms
+    assert checking.router.latest_connection_ms(checking.warm_id, checking.now_ms) == checked_at_ms
 
 
 # --- the end of the outage
 
 
-def test_list_that_is_current_again_takes_back_assumed_starts(asking):
-    asking.connected_ms = asking.now_ms
-    asking.answer_check(asking.warm_id, lost_at_ms=asking.now_ms)
+def test_list_that_is_current_again_discards_assumed_starts(checking):
+    checking.connected_ms = checking.now_ms
+    checking.answer_check(checking.warm_id, lost_at_ms=checking.now_ms)
 
-    asking.confirm_list()
+    checking.confirm_list()
 
-    assert asking.worker(asking.warm_id).latest_start_ms is None
-    assert asking.router.latest_connection_ms(asking.warm_id, asking.now_ms) == math.inf
+    assert checking.worker(checking.warm_id).latest_start_ms is None
+    assert checking.router.latest_connection_ms(checking.warm_id, checking.now_ms) == math.inf
 
 
-def test_older_event_does_not_undo_a_drain_that_the_worker_reported(asking):
-    asking.answer_check(asking.warm_id, Readiness.DRAINING)
+def test_older_event_does_not_undo_a_drain_that_the_worker_reported(checking):
+    checking.answer_check(checking.warm_id, Readiness.DRAINING)
 
-    asking.feed(EndpointsChanged([Endpoint(asking.warm_id)], is_complete=False))
-    asking.confirm_list()
+    checking.feed(EndpointsChanged([Endpoint(checking.warm_id)], is_complete=False))
+    checking.confirm_list()
 
-    assert not asking.worker(asking.warm_id).is_ready
+    assert not checking.worker(checking.warm_id).is_ready
 
 
-def test_drain_that_the_list_never_confirms_is_forgotten(asking):
-    asking.answer_check(asking.warm_id, Readiness.DRAINING)
-    asking.now_ms += DRAIN_REPORT_TTL_MS + 1
+def test_reported_drain_that_the_list_never_confirms_expires(checking):
+    checking.answer_check(checking.warm_id, Readiness.DRAINING)
+    checking.now_ms += DRAIN_REPORT_TTL_MS + 1
 
-    asking.confirm_list()
+    checking.confirm_list()
 
-    assert asking.worker(asking.warm_id).is_ready
+    assert checking.worker(checking.warm_id).is_ready
 
 
-def test_answer_that_comes_after_the_list_is_current_is_forgotten_in_time_too(asking):
-    asking.confirm_list()
-    asking.answer_check(asking.warm_id, Readiness.DRAINING)
-    asking.now_ms += DRAIN_REPORT_TTL_MS + 1
+def test_drain_reported_after_the_list_is_current_again_expires_too(checking):
+    checking.confirm_list()
+    checking.answer_check(checking.warm_id, Readiness.DRAINING)
+    checking.now_ms += DRAIN_REPORT_TTL_MS + 1
 
-    asking.confirm_list()
+    checking.confirm_list()
 
-    assert asking.worker(asking.warm_id).is_ready
+    assert checking.worker(checking.warm_id).is_ready
 
 
-def test_confirmation_of_long_ago_takes_back_no_assumed_start(asking):
-    confirmed_ms = asking.now_ms - LEASE_MS
-    asking.connected_ms = asking.now_ms
-    asking.answer_check(asking.warm_id, lost_at_ms=asking.now_ms)
-    asking.now_ms += MAX_LOG_SILENCE_MS + LEASE_MS
+def test_old_confirmation_discards_no_assumed_start(checking):
+    confirmed_ms = checking.now_ms - LEASE_MS
+    checking.connected_ms = checking.now_ms
+    checking.answer_check(checking.warm_id, lost_at_ms=checking.now_ms)
+    checking.now_ms += MAX_LOG_SILENCE_MS + LEASE_MS
 
-    asking.feed(EndpointListConfirmed(confirmed_ms))
+    checking.feed(EndpointListConfirmed(confirmed_ms))
 
-    assert asking.worker(asking.warm_id).latest_start_ms == asking.connected_ms
+    assert checking.worker(checking.warm_id).latest_start_ms == checking.connected_ms
 
 
-def test_worker_is_asked_again_if_the_end_of_a_health_check_is_never_reported(asking):
-    asking.now_ms += LOST_CHECK_MS
-    asking.request("r2")
+def test_worker_is_checked_again_if_the_end_of_a_health_check_is_never_reported(checking):
+    checking.now_ms += CHECK_EXPIRY_MS
+    checking.request("r2")
 
-    assert asking.warm_id in checked(asking.report_instances(asking.warm_id, 1))
+    assert checking.warm_id in checked(checking.report_instances(checking.warm_id, 1))
 
 
-def test_later_start_in_the_list_ends_a_reported_drain(asking):
-    asking.answer_check(asking.warm_id, Readiness.DRAINING)
-    restarted = Endpoint(asking.warm_id, started_at_ms=asking.now_ms + 1)
+def test_later_start_in_the_list_ends_a_reported_drain(checking):
+    checking.answer_check(checking.warm_id, Readiness.DRAINING)
+    restarted = Endpoint(checking.warm_id, started_at_ms=checking.now_ms + 1)
 
-    asking.feed(EndpointsChanged([restarted], is_complete=False))
+    checking.feed(EndpointsChanged([restarted], is_complete=False))
 
-    assert asking.worker(asking.warm_id).is_ready
+    assert checking.worker(checking.warm_id).is_ready
 
 
-def test_queued_request_is_sent_once_the_list_is_current(asking):
+def test_queued_request_is_sent_once_the_list_is_current(checking):
 
-    assert sent_to(asking.confirm_list()) == [asking.warm_id]
+    assert sent_to(checking.confirm_list()) == [checking.warm_id]
 
 
 def test_request_while_every_worker_drains_is_queued_without_an_error():
@@ -153,16 +153,16 @@
     assert not harness.router.is_within_drain_grace(harness.warm_id, confirmed_until_ms)
 
 
-def test_run_time_check_grants_the_grace_after_an_answer_that_a_drain_has_followed(asking):
-    asked_ms = asking.now_ms
-    asking.answer_check(asking.warm_id)
-    asking.answer_check(asking.warm_id, Readiness.DRAINING)
+def test_run_time_check_grants_the_grace_after_an_answer_that_a_drain_has_followed(checking):
+    checked_at_ms = checking.now_ms
+    checking.answer_check(checking.warm_id)
+    checking.answer_check(checking.warm_id, Readiness.DRAINING)
 
-    assert asking.router.is_within_drain_grace(asking.warm_id, asked_ms + GRACE_MS - 1)
-    assert not asking.router.is_within_drain_grace(asking.warm_id, asked_ms + GRACE_MS)
+    assert checking.router.is_within_drain_grace(checking.warm_id, checked_at_ms + GRACE_MS - 1)
+    assert not checking.router.is_within_drain_grace(checking.warm_id, checked_at_ms + GRACE_MS)
 
 
-def test_draining_state_in_the_list_counts_besides(harness):
+def test_worker_that_the_list_has_as_draining_gets_no_requests(harness):
     draining = Endpoint(harness.warm_id, state=WorkerState.DRAINING)
 
     harness.feed(EndpointsChanged([draining], is_complete=False))
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -8,7 +8,7 @@
 from function_router.decisions.types import Outcome, WorkerState
 
 
-def test_ever_new_functions_are_forgotten_but_not_those_in_use():
+def test_functions_beyond_the_maximum_are_evicted_except_those_in_use():
     harness = DecisionHarness()
     harness.warm_up("in-flight")
     [send] = actions_of(harness.request("r1", "in-flight"), SendRequest)
@@ -31,7 +31,7 @@
         harness.feed(TimerFired(0))
 
 
-def test_removed_workers_and_functions_without_requests_are_forgotten():
+def test_removed_workers_and_functions_without_requests_are_evicted():
     harness = DecisionHarness()
     harness.warm_up("g")
     warm_worker = harness.warm_up()
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -91,7 +91,7 @@
     assert not harness.fleet.placement.has_headroom(worker, harness.now_ms)
 
 
-def test_worker_is_not_silent_while_a_start_takes_its_time():
+def test_worker_does_not_count_as_silent_during_a_start():
     harness = one_of_many_routers(40)
     actions = harness.answer_probes(harness.request("r", expected_start_ms=800.0))
     orders = actions_of(actions, EnsureInstances)
--- a/tests/decisions/test_instances.py
+++ b/tests/decisions/test_instances.py
@@ -8,7 +8,7 @@
 from function_router.decisions.types import Outcome, StartKind
 
 
-def test_believed_instance_expires_after_an_unused_keep_alive():
+def test_idle_instance_is_presumed_stopped_after_its_keep_alive():
     harness = DecisionHarness(keep_alive_ms=5000.0)
     harness.warm_up()
     harness.now_ms += 5001
@@ -18,7 +18,7 @@
     assert len(orders) > 1  # several workers are probed, and not only the one that was warm
 
 
-def test_restarted_worker_has_no_believed_instances():
+def test_restarted_worker_is_presumed_to_have_no_instances():
     harness = DecisionHarness()
     warm_worker = harness.warm_up()
     harness.feed(EndpointsChanged([Endpoint(warm_worker, started_at_ms=harness.now_ms)], is_complete=False))
@@ -28,7 +28,7 @@
     assert not actions_of(actions, SendRequest)
 
 
-def test_attempt_sent_before_the_notification_of_a_restart_renews_no_belief():
+def test_attempt_sent_before_the_notification_of_a_restart_proves_no_instance():
     harness = DecisionHarness()
     warm_worker = harness.warm_up()
     harness.now_ms += 100.0
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("in_flight", "is_reported_later", "believed_instances"),
+    ("in_flight", "is_reported_later", "expected_count"),
     [
         pytest.param(0, False, 1, id="cold-start-at-an-idle-worker"),
         pytest.param(1, False, 1, id="cold-start-though-one-slot-was-free"),
@@ -55,8 +55,8 @@
         pytest.param(0, True, 3, id="instances-reported-after-the-send"),
     ],
 )
-def test_cold_start_where_a_slot_was_free_shows_that_the_believed_instances_are_gone(
-    in_flight, is_reported_later, believed_instances
+def test_cold_start_despite_a_free_slot_resets_the_instance_count(
+    in_flight, is_reported_later, expected_count
 ):
     harness = DecisionHarness()
     warm_worker = harness.warm_up(concurrency=2)
@@ -69,4 +69,4 @@
 
     harness.end_attempt(send, start_kind=StartKind.COLD_START, in_flight=in_flight)
 
-    assert harness.function("f").pools[warm_worker].count == believed_instances
+    assert harness.function("f").pools[warm_worker].count == expected_count
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -6,7 +6,7 @@
 from helpers.decision_harness import DecisionHarness, actions_of, many_routers, one_of_many_routers
 
 from function_router.decisions.actions import EnsureInstances, SendRequest
-from function_router.decisions.placement import FAR_SEND_SHARE_FACTOR
+from function_router.decisions.placement import PROBE_SEND_SHARE_FACTOR
 from function_router.decisions.records import Function
 from function_router.hashing import hash64
 
@@ -69,7 +69,7 @@
 
     assert len(functions) >= 5
     assert sum(sends_by_worker.values()) >= 60
-    assert sends_by_worker[first_worker.id] <= 60 / 20 * FAR_SEND_SHARE_FACTOR + 2
+    assert sends_by_worker[first_worker.id] <= 60 / 20 * PROBE_SEND_SHARE_FACTOR + 2
 
 
 # --- many routers: probes --------------------------------------------------------------------------
@@ -83,7 +83,7 @@
             harness.end_attempt(send)
     function = harness.function("hot")
     function.pools.clear()
-    function.known_workers = None
+    function.workers_with_pool = None
     placement = harness.fleet.placement
     first_worker = next(
         worker for worker in placement.hash_order(function) if placement.has_headroom(worker, harness.now_ms)
@@ -95,7 +95,7 @@
     assert [order.worker_id for order in orders] == [first_worker.id]
 
 
-def test_worker_with_headroom_that_is_believed_warm_is_not_probed_as_other_routers_renew_its_instance():
+def test_worker_with_headroom_that_is_presumed_warm_is_not_probed_as_other_routers_renew_its_instance():
     harness = one_of_many_routers(40, keep_alive_ms=8_000.0)
     first_send = harness.complete_starts(harness.request("first", concurrency=2))[0]
     harness.end_attempt(first_send)
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -12,7 +12,7 @@
 FIRST = Worker(1, Endpoint(1, zone="a", cell=1), hash=1)
 SAME_CELL = Worker(2, Endpoint(2, zone="a", cell=1), hash=2)
 SAME_ZONE = Worker(3, Endpoint(3, zone="a", cell=2), hash=3)
-ELSEWHERE = Worker(4, Endpoint(4, zone="b", cell=3), hash=4)
+OTHER_ZONE = Worker(4, Endpoint(4, zone="b", cell=3), hash=4)
 
 
 def request_after_one_attempt(request_class, *, in_flight=False, may_have_run=True):
@@ -47,7 +47,7 @@
     policy = RetryPolicy(Settings(max_attempts=4))
 
     assert policy.allows_attempt(request, now_ms=1.0) is not may_have_run
-    assert policy.allows_worker(request, ELSEWHERE, now_ms=1.0) is not may_have_run
+    assert policy.allows_worker(request, OTHER_ZONE, now_ms=1.0) is not may_have_run
 
 
 def test_retry_with_an_idempotency_key_must_arrive_within_its_window():
@@ -64,7 +64,7 @@
     [
         (DeduplicationScope.CELL, [SAME_CELL]),
         (DeduplicationScope.ZONE, [SAME_CELL, SAME_ZONE]),
-        (DeduplicationScope.ALL, [SAME_CELL, SAME_ZONE, ELSEWHERE]),
+        (DeduplicationScope.ALL, [SAME_CELL, SAME_ZONE, OTHER_ZONE]),
     ],
     ids=lambda value: value.name if isinstance(value, DeduplicationScope) else "",
 )
@@ -78,7 +78,7 @@
     request = request_after_one_attempt(request_class)
     policy = RetryPolicy(Settings(max_attempts=4))
 
-    workers = [FIRST, SAME_CELL, SAME_ZONE, ELSEWHERE]
+    workers = [FIRST, SAME_CELL, SAME_ZONE, OTHER_ZONE]
     assert [worker for worker in workers if policy.allows_worker(request, worker, now_ms=1.0)] == allowed
 
 
--- a/tests/decisions/test_scaling.py
+++ b/tests/decisions/test_scaling.py
@@ -43,7 +43,7 @@
     assert [order.instances for order in actions_of(actions, EnsureInstances)] == [1]
 
 
-def test_not_loaded_answer_discards_the_believed_instance_and_orders_a_start():
+def test_not_loaded_answer_resets_the_instance_count_and_orders_a_start():
     harness = DecisionHarness()
     warm_worker = harness.warm_up()
     [send] = actions_of(harness.request("r1"), SendRequest)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -98,7 +98,7 @@
     assert after.count(busiest) == 0
 
 
-def test_lone_router_sends_a_single_request_to_a_worker_that_has_just_started():
+def test_single_router_sends_one_request_to_a_worker_that_has_just_started():
     unserved = []
     for seed in range(20):
         harness = DecisionHarness(workers=1, seed=seed, slow_start_ms=14_000.0, overload_window_ms=WINDOW_MS)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -40,7 +40,7 @@
 
 
 def breaker_with_failures(count, now_ms=0.0):
-    breaker = CircuitBreaker(threshold=2.0, kept_fraction=0.5, open_ms=100.0, max_open_ms=300.0)
+    breaker = CircuitBreaker(threshold=2.0, decay_factor=0.5, open_ms=100.0, max_open_ms=300.0)
     for _ in range(count):
         breaker.record_failure(now_ms)
     return breaker
@@ -76,24 +76,24 @@
     assert not breaker.is_open(100.0)
 
 
-def test_success_keeps_a_fraction_of_the_failures():
+def test_success_decays_the_failure_count():
     breaker = breaker_with_failures(3)
 
-    breaker.record_success(was_failure=False)
+    breaker.record_success(was_counted_as_failure=False)
 
     assert not breaker.is_tripped
     assert not breaker.is_clear
-    breaker.record_success(was_failure=False)
+    breaker.record_success(was_counted_as_failure=False)
     assert breaker.is_clear
 
 
 def test_late_success_takes_back_only_the_failure_that_it_was_counted_as():
     breaker = breaker_with_failures(3)
 
-    breaker.record_success(was_failure=True)
+    breaker.record_success(was_counted_as_failure=True)
 
     assert breaker.is_tripped
-    breaker.record_success(was_failure=True)
+    breaker.record_success(was_counted_as_failure=True)
     assert not breaker.is_tripped
     assert not breaker.is_clear
 
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -97,7 +97,7 @@
 def test_sliding_window_drops_older_entries(inclusive, kept):
     window = window_of(1.0, 2.0, 3.0)
 
-    window.forget_before(2.0, inclusive=inclusive)
+    window.remove_before(2.0, inclusive=inclusive)
 
     assert list(window) == kept
     assert len(window) == len(kept)
