--- a/function_router/decisions/__init__.py
+++ b/function_router/decisions/__init__.py
@@ -1,30 +1,33 @@
-"""The decisions of a router: events in, actions out; no clock, randomness, sockets or builtin `hash`.
+"""The decision logic of a router, which maps events to actions.
 
-`Router.handle` takes `events` and returns `actions`; `settings` and `types` are shared by all modules. Each
-of the others is a part with one concern, which owns its state and its constants. A part calls only parts that
-come after it in this table; what it notices for one before it, it returns.
+It is deterministic: it uses no clock, random source, socket or builtin `hash`.
 
-    router                              a handler for each event, which orders the parts
-    retries                             retries, hedges, attempts presumed lost
-    dispatch                            the queues, and the one place that sends
-    scaling                             probes, and cold starts that race busy instances
-    start_orders, start_order_limits    where instances are started, and how many at once
-    speculation                         CIDRE's switch between waiting and starting
-    admission                           quotas, priorities, requests that are given up
-    answers, retry_policy               final answers of the router's own, and which retries are allowed
-    feedback                            what answers and reports teach
-    fleet                               puts together the parts below, which know workers and functions
-    placement                           order of workers, fan-out, headroom
-    instances                           which instances are believed to exist
+`Router.handle` takes `events` and returns `actions`. All modules share `settings` and `types`. Each other
+module is a component with a single concern, which owns its state and its constants. A component calls only
+components that come after it in this table. It reports to the components before it by return values.
+
+    router                              handles each kind of event, and calls the components in order
+    retries                             retries, hedges, and attempts that are presumed lost
+    dispatch                            queues of functions, and the only place that sends requests
+    scaling                             probes and cold starts, some of them speculative
+    start_orders, start_order_limits    which worker starts an instance, and how many may start at once
+    speculation                         CIDRE's choice between waiting for an instance and starting one
+    admission                           quotas, priorities, and requests that are given up
+    answers, retry_policy               final answers of the router itself, and which retries are allowed
+    feedback                            updates estimates from the answers and reports of workers
+    fleet                               combines the components below, which track workers and functions
+    placement                           order of workers, fan-out and headroom
+    instances                           instances that are presumed to exist
     health, circuit_breakers            which workers are usable
-    endpoint_leases                     until when the endpoint list, and a worker's word, may be believed
-    capacity, slow_start                limits and budgets of workers
-    arrivals, durations                 rates of requests, run and start times
-    workers, functions, requests        tables: who owns the records, and when they are forgotten
+    endpoint_leases                     how long the endpoint list and a worker's health check stay valid
+    capacity, slow_start                limits of workers, and send budgets of those in slow start
+    arrivals, durations                 request rates, run times and start times
+    workers, functions, requests        tables that own the records and evict old ones
     records                             workers, functions, instances, requests and attempts
-    outbox                              actions that are not returned yet
+    outbox                              actions that are decided but not returned yet
 
-"Own" requests, attempts, sends and rates are those of this router, in contrast to those of all routers.
+Names with "own" refer to the requests, attempts, sends and rates of this router alone, as opposed to those of
+all routers.
 """
 
 from function_router.decisions.router import Router
--- a/function_router/decisions/actions.py
+++ b/function_router/decisions/actions.py
@@ -1,6 +1,6 @@
-"""Actions, which `Router.handle` returns, to be carried out in their order. Nothing is decided here.
+"""Actions, the output of `Router.handle`. This module contains no decision logic.
 
-Durations are milliseconds.
+The caller carries out the actions in the given order. Durations are in milliseconds.
 """
 
 from msgspec import Struct
@@ -14,29 +14,29 @@
 
 
 class CancelAttempt(Struct, frozen=True):
-    """Tell a worker that nobody waits for the answer to an attempt any more."""
+    """Tell a worker that the answer to an attempt is no longer needed."""
 
     request_id: str
     attempt_number: int
 
 
 class RejectRequest(Struct, frozen=True):
-    """Give the final answer that says that the request may be retried without harm."""
+    """Give a final answer which tells the client that it may safely retry the request."""
 
     request_id: str
-    retry_after_ms: float = 0.0  # how long the client should wait before that; 0: no advice
+    retry_after_ms: float = 0.0  # how long the client should wait before the retry; 0: no advice
 
 
 class FailRequest(Struct, frozen=True):
-    """Give the final answer that says nothing about whether the request has run."""
+    """Give a final answer that leaves open whether the request has run."""
 
     request_id: str
 
 
 class EnsureInstances(Struct, frozen=True):
-    """Order a worker to have at least this many instances of a function, or just ask how many it has.
+    """Make sure that a worker has at least this many instances of a function.
 
-    With 0 instances this is a probe, otherwise a start order.
+    With 0 instances this is a probe, which only asks how many there are. Otherwise it is a start order.
     """
 
     worker_id: int
@@ -45,21 +45,21 @@
 
 
 class CheckHealth(Struct, frozen=True):
-    """Ask a worker whether it is ready for new work or draining."""
+    """Send a health check, which asks a worker whether it is ready for new work or draining."""
 
     worker_id: int
-    function: str  # for whose requests it is asked; may be empty
+    function: str  # the function whose requests need the check; may be empty
 
 
 class NoteWithheld(Struct, frozen=True):
-    """Note that a request was not sent to a worker, as nothing proves that the worker is ready."""
+    """Record that a request was not sent to a worker because its readiness is unknown."""
 
     request_id: str
     worker_id: int
 
 
 class SetTimer(Struct, frozen=True):
-    """Send a `TimerFired` with this token after a delay."""
+    """Send a `TimerFired` event with this token after a delay."""
 
     delay_ms: float
     token: int
--- a/function_router/decisions/admission.py
+++ b/function_router/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission: tenant quotas, the limit of attempts in flight, who is served first, who is given up."""
+"""Admission: tenant quotas, the limit on attempts in flight, request priorities, and giving up requests."""
 
 import math
 
@@ -9,38 +9,38 @@
 from function_router.decisions.settings import Settings
 from function_router.limits import TokenBucket
 
-# The router checks deadlines, queues and silent workers at this interval: well under a typical run.
+# Interval of the timer that checks deadlines, queues and silent workers. It is well below a typical run time.
 TIMER_INTERVAL_MS = 40.0
 
-# The router gives its own final answer this long before the client times out, so that it arrives in time even
-# if the process is short of processor time.
+# How long before the client's timeout the router gives its own final answer, so that the answer arrives in
+# time even if the process is short of CPU time.
 ANSWER_LEAD_MS = 20.0
 
-# A queued request with less time left than this many median runs is expected to miss its objective. Long runs
-# don't count before the final fraction of the objective.
+# A queued request with less time left than this many median run times is expected to miss its objective. If
+# runs are long, this applies only in the final fraction of the objective.
 RUNS_BEFORE_OBJECTIVE = 2.0
 
-# A tenant may use this many seconds of its quota at once.
+# Burst of a tenant, in seconds of its quota.
 QUOTA_BURST_S = 1.0
 
-# With many routers, each sees few requests of a tenant, and those come unevenly: the burst grows by this many
-# square roots of the mean number in the statistics window.
+# With many routers, each one receives few requests of a tenant, at irregular intervals. The burst is
+# therefore larger by this many square roots of the mean number of requests in the statistics window.
 QUOTA_NOISE_ALLOWANCE = 2.0
 
-# Hedges, and requests that are over quota or will miss their objective, may use this fraction of each
-# limit; the rest is kept for the others.
+# Fraction of each limit that is available to hedges and to requests that are over quota or will miss their
+# objective. The rest is reserved for the other requests.
 LOW_PRIORITY_LIMIT_FRACTION = 0.35
 
-# A request that will miss its objective is given up after this fraction of its timeout.
+# Fraction of its timeout after which a request that will miss its objective is given up.
 GIVE_UP_FRACTION = 0.5
 
 
-# Sort key of queued requests: over quota, will miss its objective, time of arrival, id.
+# Sort key of queued requests: whether over quota, whether missing its objective, arrival time, id.
 Urgency = tuple[bool, bool, float, str]
 
 
 class Admission:
-    """Decides which requests are served first, and which are not worth serving any more."""
+    """Decides which requests are served first and which are given up."""
 
     def __init__(self, settings: Settings, fleet: Fleet, requests: OpenRequests) -> None:
         self._quotas_rps = settings.tenant_quotas_rps
@@ -50,7 +50,7 @@
         self._buckets: dict[str, TokenBucket] = {}  # by tenant
 
     def charge_quota(self, tenant: str, now_ms: float) -> bool:
-        """Count a request against its tenant's quota; whether it exceeds this router's share of it."""
+        """Charge a request to its tenant's quota; returns whether this router's share is exceeded."""
         quota_rps = self._quotas_rps.get(tenant)
         if quota_rps is None:
             return False
@@ -72,24 +72,24 @@
         return left_ms < min(runs_ms, objective_ms * FINAL_OBJECTIVE_FRACTION)
 
     def is_due_on_arrival(self, request: Request, now_ms: float) -> bool:
-        """Whether a new request is answered unsent, as its deadline is before the next check on the timer."""
+        """Whether a new request is answered without being sent because the next timer would be too late."""
         return request.deadline_ms - now_ms <= TIMER_INTERVAL_MS + ANSWER_LEAD_MS
 
     def is_due_on_timer(self, request: Request, now_ms: float) -> bool:
-        """Whether a request gets the router's own final answer now: given up, or else it may be too late.
+        """Whether the router answers a request itself now, given up or because the next timer is too late.
 
-        The time left is not taken as a difference as on arrival: deadlines are often due at just this time,
-        and sums and differences round differently.
+        Unlike `is_due_on_arrival`, this compares sums and not differences, because deadlines often fall
+        exactly on this time, and sums and differences round differently.
         """
         if self._should_give_up(request, now_ms):
             return True
         return now_ms + TIMER_INTERVAL_MS + ANSWER_LEAD_MS >= request.deadline_ms
 
     def _should_give_up(self, request: Request, now_ms: float) -> bool:
-        """Whether a request with nothing in flight that will miss its objective is given up.
+        """Whether a request that will miss its objective is given up. It must have no attempt in flight.
 
-        A request over quota is given up at once, any other after a fraction of its timeout. The client then
-        has time left to try again.
+        A request over quota is given up at once, any other after a fraction of its timeout. This leaves the
+        client time for a retry.
         """
         if request.has_attempt_in_flight() or not self.will_miss_objective(request, now_ms):
             return False
@@ -99,7 +99,7 @@
         )
 
     def urgency(self, request: Request, now_ms: float) -> Urgency:
-        """Sort key of queued requests: the least one is served first."""
+        """Sort key of queued requests. The request with the smallest key is served first."""
         will_miss = self.will_miss_objective(request, now_ms)
         return request.over_quota, will_miss, request.arrived_ms, request.id
 
@@ -111,5 +111,5 @@
         return 1.0
 
     def is_at_limit(self, fraction: float = 1.0) -> bool:
-        """Whether a fraction of the limit on own attempts in flight is reached."""
+        """Whether a fraction of the limit on this router's attempts in flight is reached."""
         return len(self._requests.recent_attempts) >= self._capacity.max_in_flight * fraction
--- a/function_router/decisions/answers.py
+++ b/function_router/decisions/answers.py
@@ -1,4 +1,4 @@
-"""Answers: closing requests, with a final answer of the router's own where no worker gave one."""
+"""Closes requests, with a final answer of the router itself if no worker gave one."""
 
 from function_router.decisions.actions import CancelAttempt, FailRequest, RejectRequest
 from function_router.decisions.outbox import Outbox
@@ -9,7 +9,7 @@
 
 
 class Answers:
-    """Closes requests. This is the only place that answers them without a worker."""
+    """Closes requests. No other component answers a request without a worker."""
 
     def __init__(
         self, settings: Settings, requests: OpenRequests, retry_policy: RetryPolicy, outbox: Outbox
@@ -21,10 +21,10 @@
         self._outbox = outbox
 
     def finish(self, request: Request) -> None:
-        """Close a request with a final answer: a rejection if a client's retry is harmless, else a failure.
+        """Close a request with a final answer: a rejection if a client's retry is safe, else a failure.
 
-        A client whose request was never sent, or is over quota, is advised to wait: there will hardly be room
-        for it soon.
+        If the request was never sent or is over quota, the client is advised to wait before the retry, as
+        there is unlikely to be capacity for it soon.
         """
         self.close(request)
         if not self._retry_policy.is_client_retry_safe(request):
@@ -35,7 +35,7 @@
         self._outbox.add(RejectRequest(request.id, retry_after_ms))
 
     def close(self, request: Request) -> None:
-        """Close a request that needs no further answer, and cancel its attempts in flight."""
+        """Close a request that needs no answer of the router, and cancel its attempts in flight."""
         del self._requests.by_id[request.id]
         queue = request.function.queue
         if request in queue:
--- a/function_router/decisions/capacity.py
+++ b/function_router/decisions/capacity.py
@@ -1,7 +1,8 @@
-"""Capacity: how many requests the workers can work on at once, and this router's share of that.
+"""Capacity: how many requests the workers can process at the same time, and this router's share of them.
 
-The workers are assumed to be provisioned for the quotas of all tenants. By Little's law, the quotas times the
-mean run time at an unloaded worker is the mean number of requests in flight that all workers can work on.
+The workers are assumed to be provisioned for the quotas of all tenants. By Little's law, the product of the
+quotas and the mean run time at an unloaded worker is the mean number of requests in flight that all workers
+can process.
 """
 
 import math
@@ -12,7 +13,8 @@
 from function_router.decisions.slow_start import SlowStart
 from function_router.decisions.workers import WorkerTable
 
-# The limits are recomputed at this interval only, as they are sums over all workers.
+# Interval at which the limits are recomputed. This is not done at each event, as the limits are sums over all
+# workers.
 REFRESH_INTERVAL_MS = 1_000.0
 
 # Allowance for sampling noise in a worker's limit, in square roots of its mean, which is the standard
@@ -22,22 +24,22 @@
 # Capacity of a worker, in requests in flight, if there are no quotas to derive it from.
 DEFAULT_WORKER_CAPACITY = 4.0
 
-# A worker's limit of own requests in flight is never below this. With many routers, most of the computed
+# Minimum of a worker's limit on this router's requests in flight. With many routers, most of the computed
 # limits are below one.
 MIN_IN_FLIGHT_LIMIT = 1.0
 MIN_IN_FLIGHT_LIMIT_MANY_ROUTERS = 2.0
 
-# The final fraction of the latency objective. The limit on attempts in flight is what the workers answer
-# within it, and a queued request may be expected to miss its objective only once it has entered it.
+# The final fraction of the latency objective. The limit on attempts in flight is the number that the workers
+# can answer within this time. A queued request is not expected to miss its objective before this time begins.
 FINAL_OBJECTIVE_FRACTION = 0.5
 
 
 class Capacity:
-    """Limits on the own requests in flight, at each worker and in total.
+    """Limits on this router's requests in flight, at each worker and in total.
 
-    `many_routers` says that there are more routers than requests that a worker can work on at once. One
-    router then has less than one request in flight at a worker on average, and can't infer the worker's
-    load from that.
+    `many_routers` is True if there are more routers than requests that a worker can process at the same time.
+    One router then has less than one request in flight at a worker on average, and can't infer the worker's
+    load from it.
     """
 
     def __init__(
@@ -51,12 +53,12 @@
         self.router_count = max(1, settings.router_count)
         self.many_routers = False
         self.total_size = 1.0  # relative capacity of all ready workers
-        self.worker_capacity = 0.0  # requests of all routers that a worker can work on at once
-        self.max_in_flight = math.inf  # limit on own attempts at all workers
+        self.worker_capacity = 0.0  # requests of all routers that a worker can process at the same time
+        self.max_in_flight = math.inf  # limit on this router's attempts at all workers
         self.refreshed_ms = -math.inf
 
     def size(self, worker: Worker, now_ms: float) -> float:
-        """The relative capacity of a worker: the size of its machine, less in slow start."""
+        """The relative capacity of a worker: the size of its machine, reduced during slow start."""
         return worker.machine_size * self._slow_start.capacity_share(worker, now_ms)
 
     def is_refresh_due(self, now_ms: float) -> bool:
@@ -64,7 +66,7 @@
         return now_ms - self.refreshed_ms >= REFRESH_INTERVAL_MS
 
     def refresh(self, now_ms: float) -> None:
-        """Recompute all limits. Those of the workers depend on `many_routers` as of the refresh before."""
+        """Recompute all limits. The workers' limits use the `many_routers` of the previous refresh."""
         self.refreshed_ms = now_ms
         ready = self._workers.ready
         self.total_size = sum(self.size(worker, now_ms) for worker in ready) or 1.0
@@ -79,7 +81,7 @@
         self.max_in_flight = self._own_in_flight_limit(now_ms) if has_limit else math.inf
 
     def _limit_workers(self, now_ms: float) -> float:
-        """Set the limit of each worker; returns how many requests all of them can work on at once."""
+        """Set the limit of each worker; returns how many requests all workers can process simultaneously."""
         router_count = self.router_count
         min_in_flight = MIN_IN_FLIGHT_LIMIT_MANY_ROUTERS if self.many_routers else MIN_IN_FLIGHT_LIMIT
         mean_in_flight = self._quota_per_ms * self._durations.unloaded_run_ms
@@ -92,7 +94,10 @@
         return total
 
     def _own_in_flight_limit(self, now_ms: float) -> float:
-        """Own requests that the responsive workers can answer within the final fraction of the objective."""
+        """This router's share of the requests that the responsive workers can answer in time.
+
+        That is within the final fraction of the latency objective.
+        """
         workers = self._workers
         responsive = [worker for worker in workers.ready if worker.unresponsive_since_ms is None]
         responsive_size = sum(self.size(worker, now_ms) for worker in responsive)
--- a/function_router/decisions/circuit_breakers.py
+++ b/function_router/decisions/circuit_breakers.py
@@ -1,30 +1,30 @@
-"""Circuit breakers: a worker at which requests of a class fail gets no more of them for a while."""
+"""Circuit breakers, which keep requests of a class from a worker for a while after failures there."""
 
 from function_router.decisions.records import Attempt, Worker
 from function_router.decisions.workers import WorkerTable
 from function_router.limits import CircuitBreaker
 
-# This many failures of a class at a worker open its breaker.
+# Number of failures of a class at a worker that open its breaker.
 FAILURE_THRESHOLD = 2.0
 
-# After a success, this fraction of the failures is kept.
+# Factor by which a success multiplies the number of failures.
 FAILURE_DECAY_FACTOR = 0.7
 
-# A breaker is open for this long at first. Each trial doubles it, up to the maximum.
+# Initial time for which a breaker is open, and the maximum. Each trial doubles the time.
 OPEN_MS = 2_000.0
 MAX_OPEN_MS = 8_000.0
 
 
 class CircuitBreakers:
-    """The breakers of all workers, one for each class of requests that has failed there."""
+    """The circuit breakers of all workers, one per worker and request class that has failed there."""
 
     def __init__(self, workers: WorkerTable) -> None:
         self._workers = workers
 
     def is_open(self, worker: Worker, class_name: str, now_ms: float) -> bool:
-        """Whether requests of a class are kept from a worker.
+        """Whether requests of a class must not go to a worker.
 
-        They aren't if the breakers of most workers are open, as in Envoy's panic mode.
+        If the breakers of most workers are open, none has an effect, as in Envoy's panic mode.
         """
         breaker = worker.breakers.get(class_name)
         if breaker is None or not breaker.is_open(now_ms):
@@ -35,12 +35,12 @@
         return open_count * 2 <= len(ready)
 
     def is_tripped(self, worker: Worker, class_name: str) -> bool:
-        """Whether a class has failed so often at a worker that its breaker is open or on trial."""
+        """Whether the breaker of a class at a worker has reached its threshold: it is open or half-open."""
         breaker = worker.breakers.get(class_name)
         return breaker is not None and breaker.is_tripped
 
     def record_send(self, worker: Worker, class_name: str, now_ms: float) -> None:
-        """Record a send: if the breaker is tripped, it is a trial."""
+        """Record a send, which is a trial if the breaker is tripped."""
         breaker = worker.breakers.get(class_name)
         if breaker is not None:
             breaker.record_trial(now_ms)
@@ -59,7 +59,7 @@
         breaker.record_failure(now_ms)
 
     def record_success(self, attempt: Attempt) -> None:
-        """Record an answer. One to an attempt that was presumed lost takes that failure back."""
+        """Record a success. If the attempt was presumed lost, this takes back the failure counted for it."""
         breakers = attempt.worker.breakers
         breaker = breakers.get(attempt.class_name)
         if breaker is None:
--- a/function_router/decisions/dispatch.py
+++ b/function_router/decisions/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: the queues of functions, and the one place that sends requests."""
+"""The queues of functions, and the only place that sends requests."""
 
 from function_router.decisions.actions import NoteWithheld, SendRequest
 from function_router.decisions.admission import Admission, Urgency
@@ -10,12 +10,13 @@
 from function_router.decisions.retry_policy import RetryPolicy
 from function_router.decisions.scaling import Scaling
 
-# A worker with fewer own attempts in flight counts as unloaded: its run times are free of queueing there.
+# A worker with fewer attempts of this router in flight counts as unloaded, so its run times are assumed to
+# include no queueing at the worker.
 LOADED_AT_IN_FLIGHT = 2
 
 
 class Dispatcher:
-    """Owns the queues: sends requests to free slots, and has instances started for those left in a queue."""
+    """Owns the queues. Sends requests to free slots, and requests instances for those left in a queue."""
 
     def __init__(
         self,
@@ -34,21 +35,21 @@
         self._retry_policy = retry_policy
         self._scaling = scaling
         self._outbox = outbox
-        self._waiting: dict[str, Function] = {}  # functions with queued requests, by name
+        self._waiting: dict[str, Function] = {}  # functions that may have queued requests, by name
 
     def has_waiting_functions(self) -> bool:
-        """Whether a function may have queued requests."""
+        """Whether any function may have queued requests."""
         return bool(self._waiting)
 
     def enqueue(self, request: Request, now_ms: float) -> None:
-        """Queue a request; it is sent once its function is dispatched."""
+        """Queue a request, which is sent when its function is dispatched."""
         function = request.function
         request.queued_ms = now_ms
         function.queue.append(request)
         self._waiting[function.name] = function
 
     def dispatch(self, function: Function, now_ms: float) -> None:
-        """Serve the queue of a function, and start instances for what is left in it."""
+        """Serve the queue of a function, and order instances for the requests left in it."""
         self._serve_queue(function, now_ms)
         self._waiting.pop(function.name, None)
         if function.queue:
@@ -56,17 +57,17 @@
             self._scaling.order_starts(function, now_ms)
 
     def dispatch_all(self, now_ms: float) -> None:
-        """Dispatch all functions with queued requests, the most urgent request first."""
+        """Dispatch all functions with queued requests, the one with the most urgent request first."""
         self._dispatch_by_urgency([function for function in self._waiting.values() if function.queue], now_ms)
 
     def dispatch_for(self, worker: Worker, now_ms: float) -> None:
-        """Dispatch the functions that may have instances at a worker, as it has just become free for more."""
+        """Dispatch the functions that may have instances at a worker which can now take more requests."""
         waiting = self._waiting.values()
         queued = [function for function in waiting if function.queue and worker.id in function.pools]
         self._dispatch_by_urgency(queued, now_ms)
 
     def _dispatch_by_urgency(self, functions: list[Function], now_ms: float) -> None:
-        """Dispatch functions in the order of their most urgent requests."""
+        """Dispatch functions, ordered by their most urgent requests."""
 
         def urgency(function: Function) -> Urgency:
             return min(self._admission.urgency(request, now_ms) for request in function.queue)
@@ -75,7 +76,7 @@
             self.dispatch(function, now_ms)
 
     def send_at_once(self, request: Request, now_ms: float) -> None:
-        """Send another attempt if a slot is free now, but neither queue the request nor start an instance."""
+        """Send another attempt if a slot is free now. Otherwise don't queue it or start an instance."""
         queue = request.function.queue
         queue.append(request)
         self._serve_queue(request.function, now_ms)
@@ -85,8 +86,8 @@
     def _serve_queue(self, function: Function, now_ms: float) -> None:
         """Send queued requests to free slots, the most urgent first.
 
-        Once a request finds no slot, the ones behind it won't either, unless it is a retry: those are
-        confined to some of the workers.
+        If a request finds no slot, the requests after it won't find one either, so the loop ends. Retries are
+        an exception, as they may be restricted to some of the workers.
         """
         queue = function.queue
         function.awaits_check = False
@@ -100,9 +101,9 @@
                 break
 
     def _find_worker(self, function: Function, request: Request, now_ms: float) -> Worker | None:
-        """The first candidate below its load bound that may take a request; else the least loaded one.
+        """Find the worker for a request: the first candidate below its load bound, else the least loaded one.
 
-        Of the candidates that are not proven to be ready, only one at a time is asked.
+        Of the candidates without a valid lease, only one at a time gets a health check.
         """
         limit_fraction = self._admission.limit_fraction(request, now_ms)
         # A hedge may use the whole limit on attempts in flight, but only a fraction of a worker's limit.
@@ -130,7 +131,7 @@
         return min(beyond_bound, key=lambda worker: worker.in_flight, default=None)
 
     def _note_withheld(self, request: Request, worker: Worker) -> None:
-        """Note once for each worker that a request is not sent to it for want of a lease."""
+        """Record, once for each worker, that a request is not sent to it because it has no valid lease."""
         if worker.id not in request.withheld_from:
             request.withheld_from.append(worker.id)
             self._outbox.add(NoteWithheld(request.id, worker.id))
@@ -144,7 +145,7 @@
         return self._retry_policy.allows_worker(request, worker, now_ms)
 
     def _send(self, request: Request, worker: Worker, now_ms: float) -> None:
-        """Send a request to a worker. This is the only place that does."""
+        """Send a request to a worker. No other code does this."""
         function = request.function
         first_in_hash_order = function.hash_order[: function.fanout]
         attempt = Attempt(
@@ -164,7 +165,7 @@
         self._placement.record_send(worker, now_ms)
         self._health.expect_reply(worker, now_ms)
         self._health.breakers.record_send(worker, attempt.class_name, now_ms)
-        # The first attempt beyond the slots that there were before uses the speculative instance: this is Ti.
+        # The first attempt beyond the previous slots uses the speculative instance, whose idle time is Ti.
         if pool.unused_since_ms is not None and pool.in_flight > pool.slots_before_start:
             function.idle_before_use_ms = now_ms - pool.unused_since_ms
             pool.unused_since_ms = None
--- a/function_router/decisions/durations.py
+++ b/function_router/decisions/durations.py
@@ -2,16 +2,16 @@
 
 from function_router.decisions.records import Function, new_median
 
-# Assumed run time until a run of any function has been seen.
+# Assumed run time until a run of any function has been measured.
 DEFAULT_RUN_MS = 200.0
 
-# Assumed start time of a function until a start has been seen, if its requests give no hint.
+# Assumed start time of a function until a start has been measured, if its requests give no hint.
 DEFAULT_START_MS = 1_000.0
 
-# Weight of one run in the moving average of runs at unloaded workers, which covers about 50 of them.
+# Weight of one run in the moving average of run times at unloaded workers, which covers about 50 runs.
 UNLOADED_RUN_GAIN = 0.02
 
-# Until the first run, the latency objective is taken to be this many runs at an unloaded worker.
+# Assumed ratio of the latency objective to the run time at an unloaded worker until the first run.
 OBJECTIVE_IN_RUNS = 5.0
 
 
@@ -20,11 +20,11 @@
 
     def __init__(self, latency_objective_ms: float) -> None:
         self.run_times = new_median()  # of all functions
-        # Moving average of run times at unloaded workers; a guess until the first run.
+        # Moving average of run times at unloaded workers. It is a guess until the first run.
         self.unloaded_run_ms = latency_objective_ms / OBJECTIVE_IN_RUNS
 
     def record_run(self, function: Function, run_ms: float, now_ms: float, *, is_unloaded: bool) -> None:
-        """Add a run at a warm instance, `is_unloaded` if its worker had little else to do."""
+        """Add a run at a warm instance; `is_unloaded` if its worker had few other requests in flight."""
         function.run_times.add(now_ms, run_ms)
         self.run_times.add(now_ms, run_ms)
         if is_unloaded:
--- a/function_router/decisions/endpoint_leases.py
+++ b/function_router/decisions/endpoint_leases.py
@@ -1,15 +1,15 @@
-"""Leases: until when the endpoint list may be believed, and after that, which workers may get new work.
+"""Leases on the endpoint list and on single workers, which decide whether a worker may get new work.
 
-What the endpoint log says is a fact of the past. While the log is in reach, its heartbeats renew a lease on
-the whole list. When that lease has expired, a worker may have drained or restarted without notice, so new
-work goes only to workers with a lease of their own: they have just answered a health check that they are
-ready. A lease counts from when its question was asked, and ends before the operator's grace for sends to a
+The endpoint log reports past states. While the router is connected to the log, the log's heartbeats renew a
+lease on the whole list. Once that lease has expired, a worker may have drained or restarted unnoticed. New
+work then goes only to workers with a lease of their own, which they get by answering a health check with
+ready. A lease starts when the health check is sent, and ends before the operator's grace for sends to a
 draining worker does. (Leases: Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for
 Distributed File Cache Consistency", 1989.)
 
-A lease covers one process. A health check is answered on one connection; what connects later may reach
-another process, which needs a proof of its own and, where the earlier one is known to have gone, is in slow
-start.
+A lease covers one process. A health check is answered on one connection. A connection that is established
+later may reach another process, which needs a health check of its own. That process is in slow start if the
+earlier one is known to be gone.
 """
 
 import math
@@ -23,54 +23,54 @@
 from function_router.decisions.types import Readiness, WorkerState
 from function_router.decisions.workers import WorkerTable
 
-# The network asks a log that is silent for this long again, and what the log has to say counts as notified
-# from then on. Its heartbeats come each second.
+# If the log is silent for this long, the network code requests it again, and the events that the log has not
+# delivered by then count as announced from that time on. The log sends a heartbeat every second.
 MAX_LOG_SILENCE_MS = 2_000.0
 
-# A lease ends this long before the grace for sends does: for the way of a frame to the worker, and for a
-# stall of the process between the check of the lease and the write.
+# How long before the grace for sends a lease ends. This allows for the transfer of a frame to the worker, and
+# for a stall of the process between the check of the lease and the write.
 LEASE_MARGIN_MS = 100.0
 
-# However short the grace is, a lease lasts for this fraction of it.
+# Minimum duration of a lease, as a fraction of the grace, however short the grace is.
 MIN_LEASE_FRACTION = 0.5
 
-# A lease in use is renewed this long before it ends, so that requests rarely wait for a health check.
+# How long before its end a lease in use is renewed, so that requests rarely wait for a health check.
 RENEWAL_LEAD_MS = 150.0
 
-# Workers that get work are asked already this long before the lease on the list ends. It has to be short, as
-# the list is often confirmed late where the log was only restarted or moved.
+# How long before the end of the lease on the list workers in use get a first health check. The time has to be
+# short, because the list is often confirmed late when the log has only been restarted or moved.
 CHECK_LEAD_MS = 250.0
 
-# After this time without an answer, requests look for another worker. It is several round trips.
+# How long requests wait for the answer to a health check before they look for another worker. This is several
+# round trips.
 CHECK_WAIT_MS = 60.0
 
-# A health check whose end was not reported by then never will be: an exception may have prevented it.
+# After this time, a health check no longer counts as pending. Its end will never be reported, for example
+# because an exception has prevented that.
 CHECK_EXPIRY_MS = 5_000.0
 
-# A worker that gave no answer, or is draining, is asked again after this time; the interval doubles up to the
-# maximum.
+# Initial and maximum interval between health checks of a worker that doesn't answer or is draining. The
+# interval doubles with each check.
 RECHECK_INTERVAL_MS = 1_000.0
 MAX_RECHECK_INTERVAL_MS = 4_000.0
 
-# What a worker said of its drain is believed for this long, even if a list that is current says otherwise:
-# the log may publish a drain 4 s late.
+# How long a worker's own report of its drain remains valid, even if a current list contradicts it. The log
+# may publish a drain 4 s late.
 DRAIN_REPORT_TTL_MS = 5_000.0
 
 
 class LeaseStatus(Enum):
     """Whether a worker may get new work now."""
 
-    VALID = (
-        auto()
-    )  # the list says that it is ready and may be believed, or the worker has just said so itself
-    PENDING = auto()  # it has just been asked
+    VALID = auto()  # the lease on the list or that of the worker is valid
+    PENDING = auto()  # neither lease is valid, but a health check of the worker is pending
     MISSING = auto()
 
 
 class EndpointLeases:
-    """Owns the lease on the endpoint list, and those of single workers, which are in their records.
+    """Owns the lease on the endpoint list and those of single workers, which are stored in their records.
 
-    Where the network reports nothing about the log, as in the simulator, the list is always believed.
+    If no event about the log ever arrives, as in the simulator, the list is always current.
     """
 
     def __init__(self, settings: Settings, workers: WorkerTable, outbox: Outbox) -> None:
@@ -78,16 +78,18 @@
         self._lease_ms = max(grace_ms * MIN_LEASE_FRACTION, grace_ms - LEASE_MARGIN_MS)
         self._workers = workers
         self._outbox = outbox
-        self._confirmed_ms: float | None = None  # as of when the list was last known to be complete
-        self._interrupted_ms = math.inf  # the first interruption since then
-        self._followed_since_ms = math.inf
-        self._checked: dict[int, Worker] = {}  # by id: workers of which something may have to be forgotten
+        self._confirmed_ms: float | None = (
+            None  # latest time at which the list is known to have been complete
+        )
+        self._interrupted_ms = math.inf  # time of the first interruption since the last confirmation
+        self._followed_since_ms = math.inf  # time of the first interruption, which is reported at the start
+        self._checked: dict[int, Worker] = {}  # workers whose health check answers may need clearing, by id
 
     # --- the list -------------------------------------------------------------------------------
 
     @property
     def list_expires_ms(self) -> float:
-        """When the lease on the list ends, if it is not renewed."""
+        """When the lease on the list ends unless it is renewed."""
         expires_ms = self._interrupted_ms + self._lease_ms
         if self._confirmed_ms is None:
             return expires_ms
@@ -98,10 +100,10 @@
         return now_ms < self.list_expires_ms
 
     def record_confirmed(self, as_of_ms: float, now_ms: float) -> bool:
-        """Renew the lease on the list, which is complete as of a moment, and forget what it now says better.
+        """Renew the lease on the list, which was complete at `as_of_ms`, and clear what the list supersedes.
 
         Returns:
-            Whether other workers are ready now.
+            Whether the set of ready workers has changed.
         """
         ready = self._workers.ready
         self._confirmed_ms = max(as_of_ms, self._confirmed_ms or as_of_ms)
@@ -111,7 +113,7 @@
         return self._workers.ready is not ready
 
     def _clear_outdated_answers(self, now_ms: float) -> None:
-        """Forget what was assumed of workers, and drains that the list should have by now."""
+        """Clear assumed starts of workers, and reported drains that the list should contain by now."""
         for worker in list(self._checked.values()):
             worker.assumed_started_ms = None
             lease = worker.lease
@@ -120,20 +122,20 @@
                 del self._checked[worker.id]
 
     def record_interrupted(self, now_ms: float) -> None:
-        """Have the lease on the list run out, as the log is not being followed; it may be already."""
+        """Let the lease on the list expire, as there is no connection to the log."""
         self._interrupted_ms = min(self._interrupted_ms, now_ms)
         self._followed_since_ms = min(self._followed_since_ms, now_ms)
 
     # --- workers --------------------------------------------------------------------------------
 
     def check_lease(self, worker: Worker, function: str, now_ms: float, *, may_check: bool) -> LeaseStatus:
-        """Say whether a worker may get new work now, and ask it if that is in doubt or will soon be.
+        """Return whether a worker may get new work now; send a health check if no lease is valid for long.
 
         Args:
-            worker: A worker that the list has as ready.
-            function: The function for which it would get work, for the traces of its requests.
-            now_ms: The time.
-            may_check: Whether the worker may be asked.
+            worker: A worker that is ready according to the list.
+            function: The function whose request needs the worker, for the traces of its requests.
+            now_ms: The current time.
+            may_check: Whether a health check may be sent.
         """
         expires_ms = max(self.list_expires_ms - CHECK_LEAD_MS, self._expires_ms(worker) - RENEWAL_LEAD_MS)
         if now_ms < expires_ms:
@@ -147,16 +149,16 @@
         return LeaseStatus.PENDING if is_check_pending else LeaseStatus.MISSING
 
     def has_valid_lease(self, worker: Worker, now_ms: float) -> bool:
-        """Whether the list may be believed or the worker has a valid lease."""
+        """Whether the lease on the list or that of the worker is valid."""
         return self.is_list_current(now_ms) or now_ms < self._expires_ms(worker)
 
     def latest_connection_ms(self, worker_id: int, now_ms: float) -> float:
-        """Until when a connection to a worker must have been established to carry new work now.
+        """The latest time of establishment of a connection that may carry new work to a worker now.
 
-        What was established later may lead to another process than the one that proved to be ready.
+        Later connections may lead to another process than the one that answered the health check.
 
         Returns:
-            The time; infinite if any connection may, and negative infinite if none may.
+            The time; infinity if every connection may carry new work, minus infinity if none may.
         """
         worker = self._workers.by_id.get(worker_id)
         if worker is not None and worker.lease.drain_reported_ms is not None:
@@ -168,9 +170,9 @@
         return worker.lease.ready_as_of_ms
 
     def is_within_grace(self, worker_id: int, at_ms: float) -> bool:
-        """Whether new work that left at some time was within the operator's grace, by all that is known.
+        """Whether new work that was sent at a given time obeyed the operator's grace, as far as is known.
 
-        This is the rule itself, without the margins with which the decisions keep it.
+        This is the rule itself, without the safety margins that the decisions add to it.
         """
         worker = self._workers.by_id.get(worker_id)
         expires_ms = self.list_expires_ms
@@ -179,7 +181,7 @@
         return at_ms < expires_ms + LEASE_MARGIN_MS
 
     def revoke(self, worker: Worker) -> None:
-        """End the lease of a worker, whose process may be another one by now."""
+        """Revoke the lease of a worker, which may run a different process by now."""
         worker.lease.ready_as_of_ms = -math.inf
 
     def _expires_ms(self, worker: Worker) -> float:
@@ -197,10 +199,10 @@
     # --- answers --------------------------------------------------------------------------------
 
     def record_answer(self, worker: Worker, event: HealthChecked, now_ms: float) -> bool:
-        """Learn from the end of a health check.
+        """Record the end of a health check.
 
         Returns:
-            Whether other workers are ready now.
+            Whether the set of ready workers has changed.
         """
         ready = self._workers.ready
         lease = worker.lease
@@ -222,7 +224,7 @@
         self._workers.set_drain_reported(worker, now_ms)
 
     def _record_ready(self, worker: Worker, event: HealthChecked) -> None:
-        """Grant a lease; where the answer may be that of a new process, that one is in slow start."""
+        """Grant a lease. If the answer may have come from a new process, the worker is in slow start."""
         lease = worker.lease
         if self._may_have_restarted(worker, event):
             worker.assumed_started_ms = event.connected_at_ms
@@ -239,8 +241,9 @@
     def _may_have_restarted(self, worker: Worker, event: HealthChecked) -> bool:
         """Whether a worker has answered on a connection that may lead to a new process.
 
-        One that is as old as the last sign of the present process leads to that. A later one may lead to a
-        new process if the worker was draining, silent or cut off since that sign.
+        A connection that is no newer than the last evidence of the current process leads to that process. A
+        newer one may lead to a new process if the worker has drained, become unresponsive or lost a
+        connection since that evidence.
         """
         lease = worker.lease
         list_as_of_ms = self._followed_since_ms if self._confirmed_ms is None else self._confirmed_ms
@@ -251,9 +254,9 @@
         return any(time_ms is not None and time_ms > process_seen_ms for time_ms in disruptions_ms)
 
     def recheck_draining(self, now_ms: float) -> None:
-        """Ask the workers that said that they drain once more, each after its interval.
+        """Send health checks to the workers that have reported a drain, each at its own interval.
 
-        Nobody sends to them, so nothing else would show that one of them is ready again.
+        They get no requests, so nothing else would show that one of them is ready again.
         """
         if self.is_list_current(now_ms):
             return
@@ -263,5 +266,5 @@
                 self._send_check(worker, "", now_ms)
 
     def remove_worker(self, worker: Worker) -> None:
-        """Forget a worker that is gone for good."""
+        """Drop a worker whose record is evicted."""
         self._checked.pop(worker.id, None)
--- a/function_router/decisions/events.py
+++ b/function_router/decisions/events.py
@@ -1,6 +1,6 @@
-"""Events, which `Router.handle` takes. Nothing is decided here.
+"""Events, the input of `Router.handle`. This module contains no decision logic.
 
-Times are milliseconds of the caller's clock, and durations are milliseconds.
+Times are milliseconds on the caller's clock. Durations are in milliseconds.
 """
 
 from msgspec import Struct
@@ -17,44 +17,44 @@
     zone: str = ""
     cell: int = 0
     size: float = 1.0
-    started_at_ms: float | None = None  # when its process started; None: long ago
+    started_at_ms: float | None = None  # when its process started; None: too long ago to matter
 
 
 class EndpointsChanged(Struct, frozen=True):
-    """The endpoint list was received: all of it, or only what has changed."""
+    """A complete endpoint list or a set of changed endpoints was received."""
 
     endpoints: list[Endpoint]
     is_complete: bool  # False: only the endpoints that have changed
 
 
 class EndpointListConfirmed(Struct, frozen=True):
-    """The endpoint log has announced that this router has all of its events."""
+    """The endpoint log has announced that this router has received all of its events."""
 
-    as_of_ms: float  # the announcement came no earlier than this
+    as_of_ms: float  # the log sent the announcement at this time or later
 
 
 class EndpointListInterrupted(Struct, frozen=True):
-    """The endpoint log is not being followed: this is the start, or its connection broke or is replaced."""
+    """The router has no connection to the endpoint log: at start, after a failure, or during a reconnect."""
 
 
 class RequestArrived(Struct, frozen=True):
-    """A client's request has arrived. It is owed one final answer."""
+    """A client's request has arrived. The router must give exactly one final answer."""
 
     request_id: str
     function: str
     class_name: str
     tenant: str
-    timeout_ms: float  # how long its client waits from now
-    concurrency: int = 1  # slots: requests that an instance serves at once
-    memory_mb: float | None = None  # of an instance
+    timeout_ms: float  # how long the client waits from now on
+    concurrency: int = 1  # slots of an instance: requests that it serves at the same time
+    memory_mb: float | None = None  # memory of an instance
     expected_start_ms: float | None = None  # typical duration of a cold start
     expected_run_ms: float | None = None  # typical duration of a run
-    client_id: str = ""  # the client's own id of the request; a retry by the client has the same
-    age_ms: float = 0.0  # how long ago it arrived
+    client_id: str = ""  # the client's id of the request; a client's retry carries the same id
+    age_ms: float = 0.0  # time since the arrival
 
 
 class RequestCancelled(Struct, frozen=True):
-    """The client of a request no longer waits: no answer is owed."""
+    """The client of a request no longer waits, so the router must not answer the request."""
 
     request_id: str
     client_id: str = ""
@@ -64,47 +64,47 @@
     """An attempt of a request at a worker has ended."""
 
     request_id: str
-    attempt_number: int  # from 0, in the order of the sends
+    attempt_number: int  # counted from 0 in the order of the sends
     worker_id: int
     outcome: Outcome
     duration_ms: float
-    is_answered: bool  # the request has its final answer, or needs none: from this attempt or otherwise
+    is_answered: bool  # the request has a final answer, from this or another source, or needs none
     start_kind: StartKind = StartKind.UNKNOWN
     in_flight: int | None = None  # requests of the function at the worker when this one arrived there
     load_report: dict[str, float] | None = None
 
 
 class InstancesReported(Struct, frozen=True):
-    """A start order or probe has ended: the worker's answer to an `EnsureInstances`, if it gave one."""
+    """A start order or probe (`EnsureInstances`) has ended, with or without an answer of the worker."""
 
     worker_id: int
     function: str
     outcome: Outcome
-    instances: int  # of the function that the worker has now
+    instances: int  # instances of the function that the worker has now
     duration_ms: float
 
 
 class HealthChecked(Struct, frozen=True):
-    """A health check has ended: the worker's answer to a `CheckHealth`, if it gave one."""
+    """A health check (`CheckHealth`) has ended, with or without an answer of the worker."""
 
     worker_id: int
-    outcome: Outcome  # OK if there was an answer
+    outcome: Outcome  # OK if the worker answered
     readiness: Readiness
-    asked_at_ms: float  # the worker got the question no earlier than this
-    connected_at_ms: float  # the connection that carried it was established no later than this
+    asked_at_ms: float  # the worker received the health check at this time or later
+    connected_at_ms: float  # the connection that carried the check was established at this time or earlier
     connection_lost_at_ms: float | None = (
-        None  # when a connection to it last ended without this router's doing
+        None  # when a connection to the worker last ended without being closed by this router
     )
 
 
 class TimerFired(Struct, frozen=True):
-    """A timer is due that was set by `SetTimer`."""
+    """A timer that was set by `SetTimer` has expired."""
 
     token: int
 
 
 class DrainStarted(Struct, frozen=True):
-    """This router shuts down: pending requests get their answers within this time, if not before."""
+    """This router is shutting down. Pending requests must be answered within the given time."""
 
     within_ms: float
 
--- a/function_router/decisions/feedback.py
+++ b/function_router/decisions/feedback.py
@@ -1,4 +1,4 @@
-"""Feedback: what the router learns from the ends of attempts and from reports of instances."""
+"""Updates the router's estimates when attempts, start orders, probes and health checks end."""
 
 from function_router.decisions.events import AttemptEnded, HealthChecked, InstancesReported
 from function_router.decisions.fleet import Fleet
@@ -6,19 +6,19 @@
 from function_router.decisions.records import Attempt, Function, Worker
 from function_router.decisions.types import Outcome, StartKind
 
-# Weight of one answer in the estimate of how many requests of a function all routers have in flight.
+# Weight of one answer in the estimate of a function's requests in flight from all routers.
 IN_FLIGHT_GAIN = 0.4
 
-# A full queue counts like a run that takes this many times the usual.
+# Slowdown that is recorded for a full queue, as a multiple of the usual run time.
 FULL_QUEUE_SLOWDOWN = 2 * SLOW_RUN_FACTOR
 
-# Outcomes that show that the worker has replied, for an attempt and for a start order or probe.
+# Outcomes which prove that the worker has replied: to an attempt, and to a start order or probe.
 REPLY_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.QUEUE_FULL, Outcome.NOT_LOADED)
 REPORT_REPLY_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.QUEUE_FULL)
 
 
 class Feedback:
-    """Updates durations, health and instances by what workers answer."""
+    """Updates durations, health and instances according to the workers' answers."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._durations = fleet.durations
@@ -26,7 +26,7 @@
         self._instances = fleet.instances
 
     def record_attempt(self, event: AttemptEnded, attempt: Attempt, now_ms: float) -> bool:
-        """Learn from the end of an attempt.
+        """Update the estimates at the end of an attempt.
 
         Returns:
             Whether its worker has just become unresponsive.
@@ -40,7 +40,7 @@
         elif outcome is Outcome.NOT_LOADED or event.start_kind is StartKind.START_FAILED:
             attempt.function.pools[attempt.worker.id].count = 0
         elif outcome is Outcome.ERROR and attempt.function.run_times:
-            # A function without a recent warm run may itself be the cause of the error.
+            # Without a recent warm run, the function itself may be the cause of the error.
             self._health.breakers.record_failure(attempt.worker, attempt.class_name, now_ms)
         elif outcome is Outcome.QUEUE_FULL:
             self._record_full_queue(attempt, now_ms)
@@ -51,7 +51,7 @@
         return became_unresponsive
 
     def _record_served(self, event: AttemptEnded, attempt: Attempt, now_ms: float) -> None:
-        """Learn from an answer. Its duration counts as a run time unless it includes a cold start."""
+        """Record an answer. Its duration counts as a run time unless it includes a cold start."""
         function = attempt.function
         run_ms = event.duration_ms
         self._instances.record_served(event, attempt, now_ms)
@@ -62,13 +62,13 @@
         self._health.breakers.record_success(attempt)
 
     def _record_full_queue(self, attempt: Attempt, now_ms: float) -> None:
-        """Keep the function's requests from the worker for about a run, as its queue is full."""
+        """Block the function at the worker, whose queue is full, for about the duration of a run."""
         pool = attempt.function.pools[attempt.worker.id]
         pool.blocked_until_ms = now_ms + self._durations.median_run_ms(attempt.function, now_ms)
         self._health.record_slowdown(attempt.worker, FULL_QUEUE_SLOWDOWN, now_ms)
 
     def _record_in_flight(self, attempt: Attempt, in_flight: int) -> None:
-        """Estimate a function's requests in flight at all workers from the number at one of them."""
+        """Estimate a function's requests in flight at all workers from the number at one worker."""
         function = attempt.function
         at_all_workers = in_flight * attempt.candidate_count
         function.estimated_in_flight += IN_FLIGHT_GAIN * (at_all_workers - function.estimated_in_flight)
@@ -76,10 +76,10 @@
     def record_report(
         self, event: InstancesReported, function: Function, worker: Worker, now_ms: float
     ) -> bool:
-        """Learn from the end of a start order or a probe.
+        """Update the estimates at the end of a start order or probe.
 
-        An unresponsive worker that comes back without its instances must have restarted, although no
-        notification of that has come yet.
+        If an unresponsive worker replies and has lost its instances, it must have restarted, even if the
+        endpoint log has not announced that yet.
 
         Returns:
             Whether the worker has just become unresponsive.
@@ -94,7 +94,7 @@
         return False
 
     def record_health_check(self, event: HealthChecked, worker: Worker, now_ms: float) -> bool:
-        """Learn from the end of a health check whether the worker answers at all.
+        """Record at the end of a health check whether the worker replied.
 
         Returns:
             Whether the worker has just become unresponsive.
--- a/function_router/decisions/fleet.py
+++ b/function_router/decisions/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet: what the router knows about workers, functions and instances, without any open requests."""
+"""The router's state of workers, functions and instances, which is independent of open requests."""
 
 from function_router.decisions.arrivals import Arrivals
 from function_router.decisions.capacity import Capacity
@@ -16,7 +16,7 @@
 
 
 class Fleet:
-    """Owns the lower layers of the decisions, on which those that act on requests are built."""
+    """Owns the lower layers of the decision logic. The layers that handle requests build on them."""
 
     def __init__(self, settings: Settings, seed: int, outbox: Outbox) -> None:
         self.workers = WorkerTable(settings)
@@ -39,12 +39,12 @@
         )
 
     def update_endpoints(self, event: EndpointsChanged) -> None:
-        """Apply the endpoint list, or what has changed in it."""
+        """Apply a complete endpoint list or the changes in it."""
         self.workers.update(event)
         self.health.recount_unresponsive()
 
     def evict_unused(self, now_ms: float) -> None:
-        """Drop idle functions, and workers that were removed long ago."""
+        """Evict idle functions, and workers that were removed long ago."""
         self.functions.evict_idle(self.workers.by_id.values(), now_ms)
         for worker in self.workers.evict_removed(now_ms):
             self.functions.remove_worker(worker)
--- a/function_router/decisions/functions.py
+++ b/function_router/decisions/functions.py
@@ -6,25 +6,26 @@
 from function_router.decisions.records import Function, Worker
 from function_router.hashing import hash64
 
-# Bounds memory: when this many functions are kept, the half with the oldest last requests is dropped.
+# Maximum number of functions, which bounds the memory. When it is reached, the half of the functions with the
+# oldest last requests is evicted.
 MAX_FUNCTIONS = 2_000
 
-# A function is dropped after this long without a request.
+# How long a function without requests is kept.
 IDLE_FUNCTION_TTL_MS = 60_000.0
 
 
 class FunctionTable:
-    """Owns the function records, with their pools."""
+    """Owns the function records and their instance pools."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, Function] = {}
 
     def is_full(self) -> bool:
-        """Whether no further function may be added before others are dropped."""
+        """Whether other functions must be evicted before one is added."""
         return len(self.by_name) >= MAX_FUNCTIONS
 
     def get_or_add(self, event: RequestArrived) -> Function:
-        """The function of a request, updated by what the request says about it."""
+        """Return the function of a request, added if missing, and updated by the request's properties."""
         function = self.by_name.get(event.function)
         if function is None:
             function = Function(
@@ -37,10 +38,10 @@
         return function
 
     def evict_idle(self, workers: Iterable[Worker], now_ms: float) -> None:
-        """Drop functions without recent requests; if the table is full, up to half of all.
+        """Evict functions without recent requests, and the older half of all if the table is full.
 
-        Kept in any case are functions with queued requests or pending work at a worker, and the last one
-        that was used at each worker, as pings probe it.
+        Functions with queued requests or pending work at a worker are always kept. The function last used at
+        a worker is kept, too, because pings probe it.
         """
         in_use = {worker.last_function for worker in workers}
         expired_ms = now_ms - IDLE_FUNCTION_TTL_MS
@@ -53,7 +54,7 @@
                 del self.by_name[function.name]
 
     def remove_worker(self, worker: Worker) -> None:
-        """Drop all pools at a worker that was dropped."""
+        """Drop all pools at a worker whose record is evicted."""
         for function in self.by_name.values():
             function.pools.pop(worker.id, None)
             function.workers_with_pool = None
--- a/function_router/decisions/health.py
+++ b/function_router/decisions/health.py
@@ -1,8 +1,8 @@
 """Health of workers: pending replies, pings, and which workers are unresponsive or slow.
 
-A worker that owes a reply and stays silent is pinged, and is unresponsive if it doesn't answer the ping
-either. One that can't be connected to is unresponsive at once. The protocol has no ping of its own: a probe
-of the function that was last used at the worker serves as one.
+A worker is pinged if a reply is overdue. If it doesn't answer the ping either, it becomes unresponsive. A
+worker becomes unresponsive at once if a connection to it can't be established. The protocol has no dedicated
+ping, so a probe of the function that was last used at the worker serves as one.
 """
 
 import math
@@ -18,32 +18,32 @@
 from function_router.decisions.types import Outcome, WorkerState
 from function_router.decisions.workers import WorkerTable
 
-# A worker is not silent before it has owed a reply for this long, however short the runs are.
+# Minimum time for which a reply is pending before the worker counts as silent, however short the runs are.
 MIN_SILENCE_MS = 300.0
 
-# An attempt, or a silent worker, is overdue after this many median runs.
+# An attempt, or the reply of a silent worker, is overdue after this many median run times.
 OVERDUE_AFTER_RUNS = 3.0
 
-# An attempt is presumed lost after this many. With many routers, a silent worker is pinged only then; until
-# then, it is just not preferred.
+# An attempt is presumed lost after this many median run times. With many routers, a silent worker is pinged
+# only after this time; before that, it is just not preferred.
 LOST_AFTER_RUNS = 8.0
 
-# A worker that doesn't answer a ping for this long is unresponsive.
+# A worker becomes unresponsive if it doesn't answer a ping within this time.
 PING_TIMEOUT_MS = 80.0
 
-# Interval of pings to an unresponsive worker. A worker that answers a probe or a start order while it
-# owes more replies is not pinged before this time has passed either.
+# Interval of pings to an unresponsive worker. It is also the minimum time to a ping of a worker that has
+# answered a probe, a start order or a health check while other replies are pending.
 PING_INTERVAL_MS = 1_000.0
 
 # Weight of one run in the estimated slowdown of its worker.
 SLOWDOWN_GAIN = 0.4
 
-# A worker whose runs take this many times the usual is slow.
+# A worker counts as slow if its run times are more than this multiple of the usual ones.
 SLOW_RUN_FACTOR = 1.8
 
 
 class Health:
-    """Knows which workers may be used. It reports new unresponsive ones to the caller, who acts on it."""
+    """Tracks which workers may be used, and reports workers that become unresponsive to its caller."""
 
     def __init__(
         self,
@@ -58,14 +58,14 @@
         self._durations = durations
         self._capacity = capacity
         self._outbox = outbox
-        self._watched: dict[int, Worker] = {}  # by id: those that may owe a reply
-        self._unresponsive_count = 0  # of the ready workers
+        self._watched: dict[int, Worker] = {}  # workers that may have a pending reply, by id
+        self._unresponsive_count = 0  # number of unresponsive workers among the ready ones
         self.breakers = CircuitBreakers(workers)
 
     def is_usable(self, worker: Worker, class_name: str, now_ms: float) -> bool:
         """Whether a worker may get new requests of a class.
 
-        If most workers are unresponsive, all count as responsive, as in Envoy's panic mode.
+        If most workers are unresponsive, all of them count as responsive, as in Envoy's panic mode.
         """
         if not worker.is_ready:
             return False
@@ -77,7 +77,7 @@
         return self._unresponsive_count * 2 > len(self._workers.ready)
 
     def is_silent(self, worker: Worker, runs: float, now_ms: float) -> bool:
-        """Whether a worker has owed a reply for this many median runs, without sending anything."""
+        """Whether a worker has sent nothing for this many median run times while a reply was pending."""
         limit_ms = max(MIN_SILENCE_MS, runs * self._durations.median_run_of_all_ms(now_ms))
         since_ms = worker.awaiting_reply_since_ms
         return since_ms is not None and now_ms - since_ms >= limit_ms
@@ -87,22 +87,22 @@
         return worker.slow_until_ms <= now_ms and not self.is_silent(worker, OVERDUE_AFTER_RUNS, now_ms)
 
     def recount_unresponsive(self) -> None:
-        """Recount the unresponsive workers after a change of the ready ones."""
+        """Recount the unresponsive workers after the set of ready workers has changed."""
         ready = self._workers.ready
         self._unresponsive_count = sum(worker.unresponsive_since_ms is not None for worker in ready)
 
     def remove_worker(self, worker: Worker) -> None:
-        """Stop watching a worker that is gone for good."""
+        """Drop a worker whose record is evicted."""
         self._watched.pop(worker.id, None)
 
     def expect_reply(self, worker: Worker, now_ms: float, *, reply_grace_ms: float = 0.0) -> None:
-        """Expect a reply from a worker; its silence counts only after `reply_grace_ms`."""
+        """Expect a reply from a worker. Its silence starts to count after `reply_grace_ms`."""
         if worker.awaiting_reply_since_ms is None:
             worker.awaiting_reply_since_ms = now_ms + reply_grace_ms
             self._watched[worker.id] = worker
 
     def record_reply(self, worker: Worker, now_ms: float, *, reply_grace_ms: float = 0.0) -> None:
-        """Record a reply of a worker; if it owes more, its silence counts only after `reply_grace_ms`."""
+        """Record a reply of a worker. If more are pending, silence starts to count after `reply_grace_ms`."""
         worker.awaiting_reply_since_ms = now_ms + reply_grace_ms if worker.in_flight else None
         worker.pinged_ms = None
         if worker.unresponsive_since_ms is None:
@@ -113,9 +113,9 @@
         self._outbox.add(LogMessage(f"worker {worker.id} answers again"))
 
     def record_no_reply(self, worker: Worker, outcome: Outcome, now_ms: float) -> bool:
-        """Record that an attempt, start order or probe ended without a reply of the worker.
+        """Record that an attempt, start order, probe or health check ended without a reply of the worker.
 
-        A reset connection doesn't show that the process is down, so the worker is pinged.
+        A reset connection doesn't prove that the process is down, so the worker is pinged.
 
         Returns:
             Whether the worker has just become unresponsive.
@@ -128,10 +128,11 @@
         return False
 
     def record_slowdown(self, worker: Worker, factor: float, now_ms: float) -> None:
-        """Record that a run took `factor` times the usual.
+        """Record that a run took `factor` times as long as usual.
 
-        With many routers, long runs show the load from the other routers. A slow worker is not preferred
-        until its slowdown would have decayed to the threshold over the statistics window.
+        With many routers, long runs indicate load from the other routers. A slow worker is not preferred for
+        as long as its slowdown would take to decay to the threshold, with the statistics window as the time
+        constant.
         """
         worker.slowdown += SLOWDOWN_GAIN * (factor - worker.slowdown)
         if self._capacity.many_routers and worker.slowdown > SLOW_RUN_FACTOR:
@@ -139,7 +140,7 @@
             worker.slow_until_ms = now_ms + STATISTICS_WINDOW_MS * decay_times
 
     def check_timeouts(self, now_ms: float) -> Iterator[Worker]:
-        """Ping silent workers, and yield each worker at the moment when it becomes unresponsive."""
+        """Ping silent workers, and yield each worker that becomes unresponsive."""
         for worker in list(self._watched.values()):
             if worker.unresponsive_since_ms is not None:
                 if now_ms - (worker.pinged_ms or worker.unresponsive_since_ms) >= PING_INTERVAL_MS:
@@ -155,7 +156,7 @@
                 self._ping(worker, now_ms)
 
     def mark_unresponsive(self, worker: Worker, now_ms: float) -> bool:
-        """Treat a worker as unresponsive until it replies; False if it was unresponsive already."""
+        """Mark a worker as unresponsive until it replies; returns False if it already was unresponsive."""
         if worker.unresponsive_since_ms is not None:
             return False
         worker.unresponsive_since_ms = now_ms
@@ -167,7 +168,7 @@
         return True
 
     def _ping(self, worker: Worker, now_ms: float) -> None:
-        """Probe the function last used at a worker, if possible. The worker times out in any case."""
+        """Probe the function last used at a worker, if possible. The ping timeout applies in any case."""
         worker.pinged_ms = now_ms
         is_removed = worker.endpoint.state == WorkerState.REMOVED
         if worker.last_function and self._can_ping and not is_removed:
--- a/function_router/decisions/instances.py
+++ b/function_router/decisions/instances.py
@@ -1,7 +1,7 @@
-"""What this router believes about instances at the workers.
+"""The instances that this router presumes to exist at the workers.
 
-It learns of an instance by starting it, by an answer from it, or by a probe. Workers stop idle instances
-without notice, so a belief expires.
+The router learns of an instance by starting it, by an answer from it, or by a probe. Workers stop idle
+instances without announcing that, so an instance is presumed to exist only for a limited time.
 """
 
 import math
@@ -13,21 +13,22 @@
 from function_router.decisions.settings import Settings
 from function_router.decisions.types import Outcome, StartKind
 
-# Unless there are many routers, a report or an observation older than this is verified by a probe.
+# Age at which a report or an observation of instances has to be verified by a probe, unless there are many
+# routers.
 UNVERIFIED_AFTER_MS = 1_000.0
 
-# With many routers, an idle instance is believed to exist for this long after it was last seen.
+# How long after its last answer or report an idle instance is presumed to exist if there are many routers.
 SHARED_INSTANCE_TTL_MS = 30_000.0
 
-# Answers to requests that found no free slot and waited for a cold start.
+# Start kinds in answers to requests that found no free slot and waited for a cold start.
 COLD_START_KINDS = (StartKind.COLD_START, StartKind.JOINED_COLD_START)
 
 
 class SlotState(Enum):
     """Whether a worker has a free slot for a request."""
 
-    NONE = 0  # all slots are taken, or the worker is blocked
-    UNVERIFIED = 1  # there should be one, but the worker has to be probed first
+    NONE = 0  # all slots are in use, or the worker is blocked
+    UNVERIFIED = 1  # a slot is presumed to be free, but the worker must be probed first
     FREE = 2
 
 
@@ -40,9 +41,9 @@
         self._capacity = capacity
 
     def count(self, pool: InstancePool, worker: Worker, now_ms: float) -> int:
-        """Instances believed to exist: none after a restart of the worker, or after a long idle time.
+        """The number of instances presumed to exist: 0 after a restart of the worker or a long idle time.
 
-        With many routers, a belief lasts longer, as requests of the other routers keep instances alive.
+        With many routers, the idle time is longer, as requests of other routers keep the instances alive.
         """
         if pool.last_seen_ms <= (worker.latest_start_ms or -math.inf):
             return 0
@@ -72,8 +73,8 @@
     def record_served(self, event: AttemptEnded, attempt: Attempt, now_ms: float) -> None:
         """Record that an instance has answered.
 
-        A cold start although a slot should have been free shows that the believed instances are gone, unless
-        the worker has reported them since the send.
+        A cold start although a slot should have been free shows that the presumed instances no longer exist,
+        unless the worker has reported them since the send.
         """
         function = attempt.function
         pool = function.pools[attempt.worker.id]
@@ -86,7 +87,7 @@
     def record_report(
         self, event: InstancesReported, pool: InstancePool, concurrency: int, now_ms: float
     ) -> None:
-        """Record how many instances a worker reports, and since when a speculative one is unused."""
+        """Record the instances that a worker reports, and since when a speculative one is unused."""
         is_speculative_start = pool.is_speculative and pool.is_start_report(event)
         if is_speculative_start and event.outcome is Outcome.OK:
             pool.unused_since_ms = now_ms
--- a/function_router/decisions/outbox.py
+++ b/function_router/decisions/outbox.py
@@ -1,4 +1,4 @@
-"""The actions that were decided and not returned yet."""
+"""The actions that are decided but not returned yet."""
 
 from function_router.decisions.actions import Action
 
--- a/function_router/decisions/placement.py
+++ b/function_router/decisions/placement.py
@@ -1,8 +1,8 @@
-"""Placement: which workers a function's requests and instances go to, and in which order.
+"""Placement: the order in which workers are considered for a function's requests and instances.
 
-Every router computes the same order of workers for a function, by weighted rendezvous hashing, so that all
-routers share the function's instances without talking to each other. The first workers of that order that
-have headroom are preferred. Their number, the fan-out of the function, follows the load of all routers.
+Every router computes the same order of workers for a function, by weighted rendezvous hashing. All routers
+thus share the function's instances without communicating with each other. The first workers with headroom in
+this order are preferred. Their number, the fan-out of the function, follows the load from all routers.
 """
 
 import math
@@ -19,31 +19,31 @@
 from function_router.hashing import rendezvous_rank
 from function_router.statistics import DecayingCounter
 
-# Hashing with bounded loads: a worker gets up to this multiple of its fair share of the own attempts in
-# flight, but never fewer than the minimum.
+# Consistent hashing with bounded loads: the load bound of a worker is this multiple of its fair share of the
+# router's attempts in flight, but at least the minimum.
 LOAD_BOUND_FACTOR = 1.5
 MIN_LOAD_BOUND = 2.0
 
-# A worker is past its share of the own sends in the statistics window if it has had more than this multiple
-# of its fair share. Up to the minimum number of sends, it never is.
+# A worker has no headroom if it got more than this multiple of its fair share of the router's sends in the
+# statistics window. Up to the minimum number of sends, the share is not considered.
 SEND_SHARE_FACTOR = 1.3
 MIN_SEND_SHARE = 0.5
 
-# Other workers are probed for a warm function only past this multiple: sampling noise alone takes many
-# workers past the factor above.
+# For a warm function, other workers are probed only above this multiple of the fair share, because many
+# workers exceed the lower factor by sampling noise alone.
 PROBE_SEND_SHARE_FACTOR = 2.0
 
-# The fan-out is chosen so that, on average, each preferred worker has requests for at most this many
-# instances, and for at most this fraction of its capacity.
+# The fan-out is chosen so that the average demand on a preferred worker is at most this many instances, and
+# at most this fraction of its capacity.
 FANOUT_INSTANCES_PER_WORKER = 1.2
 FANOUT_CAPACITY_FRACTION = 0.6
 
-# Arrival rates are averaged over this long at least, so that the first requests don't look like a flood.
+# Minimum interval over which arrival rates are averaged, so that the first requests don't yield a high rate.
 MIN_RATE_INTERVAL_MS = 1_000.0
 
 
 class Placement:
-    """Orders the workers for each function, and knows which of them can take more."""
+    """Orders the workers for each function, and tells which of them can take more requests."""
 
     def __init__(
         self,
@@ -62,10 +62,10 @@
         self._capacity = capacity
         self._health = health
         self._instances = instances
-        self.sends = DecayingCounter(STATISTICS_WINDOW_MS)  # own sends to all workers
+        self.sends = DecayingCounter(STATISTICS_WINDOW_MS)  # sends of this router to all workers
 
     def hash_order(self, function: Function) -> list[Worker]:
-        """All ready workers in rendezvous order, the same at every router."""
+        """All ready workers in rendezvous order, which is the same at every router."""
         sizes = self._workers.ready_sizes
         if function.hash_order_sizes is not sizes:
             rank = {
@@ -85,10 +85,10 @@
         return function.workers_with_pool
 
     def preferred_workers(self, function: Function, request: Request, now_ms: float) -> list[Worker]:
-        """The first workers with headroom in hash order, or the first ones of all if none has any.
+        """The first workers with headroom in hash order, or just the first workers if none has headroom.
 
-        For a warm function, each request starts at a random one of them. For a cold one, all requests start
-        at the first, so that all routers start the function at the same worker.
+        For a warm function, the list is rotated by the request's random bits. For a cold function, all
+        requests begin with the first worker, so that all routers start the function at the same worker.
         """
         order = self.hash_order(function)
         with_headroom = (worker for worker in order if self.has_headroom(worker, now_ms))
@@ -99,7 +99,7 @@
         return preferred[first:] + preferred[:first]
 
     def candidates(self, function: Function, request: Request, now_ms: float) -> list[Worker]:
-        """The workers that may have an instance, in the order in which a request tries them."""
+        """The workers that may have an instance, in the order in which they are tried for a request."""
         with_pool = self.workers_with_pool(function)
         if not self._capacity.many_routers:
             return with_pool
@@ -109,7 +109,7 @@
         return list(dict.fromkeys(preferred_with_pool + by_headroom))
 
     def has_headroom(self, worker: Worker, now_ms: float, factor: float = SEND_SHARE_FACTOR) -> bool:
-        """Whether a worker is below a multiple of its fair share of sends, and neither slow nor silent."""
+        """Whether a worker is neither above a multiple of its fair share of sends, nor slow, nor silent."""
         capacity = self._capacity
         fair_share = self.sends.value(now_ms) * capacity.size(worker, now_ms) / capacity.total_size
         if worker.sends.value(now_ms) > max(MIN_SEND_SHARE, factor * fair_share):
@@ -117,11 +117,11 @@
         return self._health.is_preferable(worker, now_ms)
 
     def is_warm(self, function: Function, now_ms: float) -> bool:
-        """Whether a usable worker is believed to have an instance."""
+        """Whether any usable worker is presumed to have an instance."""
         return any(self._is_warm_at(function, worker, now_ms) for worker in self.workers_with_pool(function))
 
     def is_warm_with_headroom(self, function: Function, now_ms: float) -> bool:
-        """Whether a usable worker that is not far past its share is believed to have an instance."""
+        """Whether any usable worker that is presumed to have an instance has headroom by the probe factor."""
         return any(
             self._is_warm_at(function, worker, now_ms)
             and self.has_headroom(worker, now_ms, PROBE_SEND_SHARE_FACTOR)
@@ -129,7 +129,7 @@
         )
 
     def _is_warm_at(self, function: Function, worker: Worker, now_ms: float) -> bool:
-        """Whether a worker is usable and believed to have an instance."""
+        """Whether a worker is usable and presumed to have an instance."""
         if not self._health.is_usable(worker, function.class_name, now_ms):
             return False
         return self._instances.count(function.pools[worker.id], worker, now_ms) > 0
@@ -141,7 +141,10 @@
         return self._slow_start.admits(worker, now_ms)
 
     def is_below_load_bound(self, worker: Worker, own_attempts: int, now_ms: float) -> bool:
-        """Whether a worker has fewer own attempts in flight than its bound (hashing with bounded loads)."""
+        """Whether a worker has fewer attempts of this router in flight than its load bound.
+
+        `own_attempts` is the number of this router's attempts in flight at all workers.
+        """
         capacity = self._capacity
         fair_share = (own_attempts + 1) * capacity.size(worker, now_ms) / capacity.total_size
         min_bound = MIN_LOAD_BOUND * self._slow_start.capacity_share(worker, now_ms)
@@ -150,8 +153,8 @@
     def record_arrival(self, function: Function, now_ms: float) -> None:
         """Count a request of a function, and update the function's fan-out.
 
-        The requests of all routers in flight are estimated in two ways, of which the greater one counts: from
-        the own arrivals by Little's law, and from the numbers in flight that workers report.
+        The demand is the greater of two estimates of the requests in flight from all routers. One is derived
+        by Little's law from the arrivals at this router, the other from the numbers that workers report.
         """
         function.estimated_in_flight *= function.arrivals.decay(now_ms)
         since_ms = self._arrivals.observed_since_ms
--- a/function_router/decisions/records.py
+++ b/function_router/decisions/records.py
@@ -1,7 +1,7 @@
-"""Records of workers, functions, instances, requests and attempts, as the decisions know them.
+"""Records of workers, functions, instances, requests and attempts.
 
-The records refer to one another, so they share this module. Nothing is decided here: the tables that own the
-records are in `workers`, `functions` and `requests`.
+The records refer to one another, so they share this module. It contains no decision logic. The tables that
+own the records are in `workers`, `functions` and `requests`.
 """
 
 import math
@@ -14,88 +14,91 @@
 from function_router.limits import CircuitBreaker
 from function_router.statistics import ArrivalRate, DecayingCounter, SlidingMedian, SlidingWindow
 
-# Older samples and counts are dropped: the window of the design (the one of the CIDRE paper is 15 minutes).
+# Window of the statistics. Older samples and counts are dropped. The value is that of this router's design;
+# the CIDRE paper uses 15 minutes.
 STATISTICS_WINDOW_MS = 10_000.0
 
-# Samples kept for one median: more would hardly move it, and each costs 100 bytes.
+# Maximum number of samples for one median. More samples would hardly change it, and each takes 100 bytes.
 MAX_MEDIAN_SAMPLES = 64
 
-# A median is cached for this long, which is well under a run.
+# How long a median is cached. This is well below the duration of a run.
 MEDIAN_REFRESH_MS = 40.0
 
-# Time constant with which the count of a function's arrivals decays.
+# Time constant of the decaying count of a function's arrivals.
 ARRIVAL_DECAY_MS = 30_000.0
 
-# This many of the last arrivals are also rated by themselves, so that a burst counts at once.
+# Number of most recent arrivals whose rate is also measured separately, so that a burst takes effect at once.
 ARRIVAL_BURST = 3
 
 
 def new_median() -> SlidingMedian:
-    """A median over the statistics window."""
+    """Create a median over the statistics window."""
     return SlidingMedian(STATISTICS_WINDOW_MS, MAX_MEDIAN_SAMPLES, MEDIAN_REFRESH_MS)
 
 
 class ReadinessLease(Struct, eq=False):
-    """What a worker has said of itself in answer to health checks; see `endpoint_leases`."""
+    """Results of a worker's health checks; see `endpoint_leases`."""
 
-    ready_as_of_ms: float = -math.inf  # it was ready then: when the question was asked that it answered so
-    process_seen_ms: float = -math.inf  # its present process ran then
-    drain_reported_ms: float | None = None  # when it last said that it drains, unless it was ready since
-    pending_check_ms: float | None = None  # when the pending health check was decided
-    next_check_ms: float = -math.inf  # it is not asked again before
-    recheck_interval_ms: float = 1_000.0  # until the next check, if it gives no answer or drains
+    ready_as_of_ms: float = -math.inf  # send time of the last health check that was answered with ready
+    process_seen_ms: float = -math.inf  # latest time at which its current process is known to have run
+    drain_reported_ms: float | None = None  # when it last reported a drain; None if it was ready since then
+    pending_check_ms: float | None = None  # when the pending health check was decided; None if there is none
+    next_check_ms: float = -math.inf  # earliest time of the next health check
+    recheck_interval_ms: float = 1_000.0  # time to the next check if the worker is draining or doesn't answer
 
 
 class Worker(Struct, eq=False):
-    """A worker of the endpoint list. A removed one is kept for a while."""
+    """A worker of the endpoint list. After its removal from the list, the record is kept for a while."""
 
     id: int
     endpoint: Endpoint
-    hash: int  # of its id, for rendezvous hashing
+    hash: int  # hash of its id, for rendezvous hashing
     removed_since_ms: float | None = None
 
     # Capacity and load.
-    machine_size: float = 1.0  # relative capacity of its machine; 1 for all where sizes are not known
-    in_flight: int = 0  # own attempts
-    max_in_flight: float = math.inf  # own attempts that it can work on, as of the last refresh of limits
+    machine_size: float = 1.0  # relative capacity of its machine; always 1 if sizes are not known
+    in_flight: int = 0  # attempts of this router
+    max_in_flight: float = math.inf  # limit on attempts of this router, as of the last refresh of limits
     sends: DecayingCounter = field(default_factory=lambda: DecayingCounter(STATISTICS_WINDOW_MS))
 
     # Readiness.
     lease: ReadinessLease = field(default_factory=ReadinessLease)
 
     # Slow start.
-    started_ms: float | None = None  # as notified, or as inferred when it came back without instances
+    started_ms: float | None = (
+        None  # as announced by the list, or inferred when it returned without instances
+    )
     assumed_started_ms: float | None = (
-        None  # if it may have restarted while the endpoint list was out of date
+        None  # set if the worker may have restarted while the endpoint list was out of date
     )
-    recent_sends: SlidingWindow = field(default_factory=SlidingWindow)  # within the overload window
-    slow_start_sends: SlidingWindow = field(default_factory=SlidingWindow)  # those since its start
+    recent_sends: SlidingWindow = field(default_factory=SlidingWindow)  # sends within the overload window
+    slow_start_sends: SlidingWindow = field(default_factory=SlidingWindow)  # recent sends since its start
 
     # Replies and pings.
-    awaiting_reply_since_ms: float | None = None  # since when its silence counts, if it owes a reply
-    pinged_ms: float | None = None  # when it was pinged, if it has not answered since
+    awaiting_reply_since_ms: float | None = None  # start of its silence; None if no reply is pending
+    pinged_ms: float | None = None  # when it was last pinged; None once it has replied
     unresponsive_since_ms: float | None = None
-    last_function: "Function | None" = None  # the function that was last used there, which a ping probes
+    last_function: "Function | None" = None  # the last function used at the worker; a ping probes it
 
     # Slow runs and failures.
-    slowdown: float = 1.0  # its run times as a multiple of the usual ones, a moving average
-    slow_until_ms: float = -math.inf  # until then, it is slow and not preferred
+    slowdown: float = 1.0  # moving average of its run times as a multiple of the usual ones
+    slow_until_ms: float = -math.inf  # end of the time for which it counts as slow and is not preferred
     breakers: dict[str, CircuitBreaker] = {}  # by request class
 
     @property
     def is_ready(self) -> bool:
-        """Whether the list has it as ready, and it has not said itself that it drains."""
+        """Whether the endpoint list has the worker as ready and it has not reported a drain itself."""
         return self.endpoint.state is WorkerState.READY and self.lease.drain_reported_ms is None
 
     @property
     def latest_start_ms(self) -> float | None:
-        """The latest time at which it may have started; None if that was long ago."""
+        """The latest time at which the worker may have started; None if that is too long ago to matter."""
         if self.assumed_started_ms is None:
             return self.started_ms
         return max(self.assumed_started_ms, self.started_ms or -math.inf)
 
     def recount_slow_start_sends(self) -> None:
-        """Count the recent sends since its start, after a notification that comes later than they."""
+        """Recompute the sends since the worker's start, which may be announced after those sends."""
         started_ms = self.latest_start_ms
         self.slow_start_sends.clear()
         for sent_ms in self.recent_sends:
@@ -104,27 +107,27 @@
 
 
 class InstancePool(Struct, eq=False):
-    """What is believed about the instances of one function at one worker."""
+    """The presumed state of the instances of one function at one worker."""
 
     count: int = 0
-    last_seen_ms: float = -math.inf  # when an instance last showed that it exists
+    last_seen_ms: float = -math.inf  # when an answer or a report last showed the state of the instances
     last_counted_ms: float = -math.inf  # when the worker last reported the count
-    in_flight: int = 0  # own attempts
-    blocked_until_ms: float = -math.inf  # it gets neither attempts nor start orders before
+    in_flight: int = 0  # attempts of this router
+    blocked_until_ms: float = -math.inf  # the pool gets neither attempts nor start orders before this time
 
     # Probes and start orders.
     pending_probes: int = 0
     last_probed_ms: float = -math.inf
     start_ordered_ms: float | None = None  # when the pending start order was decided
-    ordered_count: int = 0  # instances that the last start order asked for
-    is_speculative: bool = False  # that order races a busy warm instance
-    unused_since_ms: float | None = None  # since when a speculative instance has been idle
-    slots_before_start: int = 0  # slots that there were before that instance came
+    ordered_count: int = 0  # number of instances that the last start order asked for
+    is_speculative: bool = False  # the last start order was placed while a warm instance was busy
+    unused_since_ms: float | None = None  # when a still unused speculative instance was reported
+    slots_before_start: int = 0  # number of slots before the speculative instance was added
 
     def is_start_report(self, event: InstancesReported) -> bool:
-        """Whether a report answers the pending start order, and not a probe.
+        """Whether a report answers the pending start order and not a probe.
 
-        A report of fewer instances than were ordered answers a pending probe, if there is one.
+        If a probe is pending, a report of fewer instances than were ordered counts as its answer.
         """
         is_short = event.outcome is Outcome.OK and event.instances < self.ordered_count
         return self.start_ordered_ms is not None and not (self.pending_probes and is_short)
@@ -138,11 +141,11 @@
     function: "Function"
     class_name: str
     sent_ms: float
-    is_unloaded: bool  # its worker had little in flight when it was sent
+    is_unloaded: bool  # its worker had few requests in flight when the attempt was sent
     candidate_count: int  # workers with a pool among the first `fanout` in hash order, at least 1
     in_flight: bool = True
     is_lost: bool = False  # presumed lost, and counted as a failure of its worker
-    may_have_run: bool = True  # until its outcome proves that it did not
+    may_have_run: bool = True  # False once the outcome proves that the request did not run
 
 
 class Request(Struct, eq=False):
@@ -154,54 +157,55 @@
     arrived_ms: float
     deadline_ms: float
     over_quota: bool
-    queued_ms: float  # when it was last put into the queue
-    random_bits: int  # choose the preferred worker that it tries first
+    queued_ms: float  # when it was last added to the queue
+    random_bits: int  # select the preferred worker that is tried first
     concurrency: int  # slots of an instance, according to this request
     attempts: list[Attempt] = []
-    withheld_from: list[int] = []  # ids of workers that were not sent it, as nothing proved them to be ready
+    withheld_from: list[int] = []  # ids of workers to which it was not sent for want of a valid lease
 
     def has_attempt_in_flight(self) -> bool:
-        """Whether an attempt has not ended yet."""
+        """Whether any attempt has not ended yet."""
         return any(attempt.in_flight for attempt in self.attempts)
 
     def first_possible_run(self) -> Attempt | None:
-        """The first attempt that may have run, if there is one."""
+        """The first attempt that may have run; None if there is none."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
 class Function(Struct, eq=False):
-    """A function, its queue, and what is believed about its instances.
+    """A function, its queue and its presumed instances.
 
-    Te, Tp, Ti and Td are the times by which CIDRE decides between waiting and starting (see `speculation`).
+    Te, Tp, Ti and Td are the symbols of the CIDRE paper for the times by which it decides between waiting for
+    a busy instance and starting a new one (see `speculation`).
     """
 
     name: str
-    class_name: str  # of its newest request
+    class_name: str  # class of its newest request
     concurrency: int  # slots of an instance, according to its newest request
-    hinted_start_ms: float | None  # typical start time, according to requests
-    hash: int  # of its name, for rendezvous hashing
+    hinted_start_ms: float | None  # typical start time, according to its requests
+    hash: int  # hash of its name, for rendezvous hashing
     queue: list[Request] = []
     pools: dict[int, InstancePool] = {}  # by worker id
-    last_probed_ms: float = -math.inf  # at any worker
-    awaits_check: bool = False  # a worker with a free slot has just been asked whether it is ready
+    last_probed_ms: float = -math.inf  # time of the last probe at any worker
+    awaits_check: bool = False  # the health check of a worker with a free slot is pending
 
     # Load and placement.
     arrivals: ArrivalRate = field(default_factory=lambda: ArrivalRate(ARRIVAL_DECAY_MS, ARRIVAL_BURST))
-    estimated_in_flight: float = 0.0  # requests of all routers, estimated from answers
+    estimated_in_flight: float = 0.0  # requests of all routers in flight, estimated from answers
     fanout: int = 1  # number of preferred workers
     hash_order: list[Worker] = []  # cached; see `Placement.hash_order`
-    hash_order_sizes: dict[int, float] | None = None  # the workers and sizes for which it is cached
+    hash_order_sizes: dict[int, float] | None = None  # workers and sizes for which `hash_order` is cached
     workers_with_pool: list[Worker] | None = None  # cached; see `Placement.workers_with_pool`
 
-    # Waiting or starting.
+    # Statistics for the choice between waiting for a busy instance and starting a new one.
     run_times: SlidingMedian = field(default_factory=new_median)  # the median is Te
     start_times: SlidingMedian = field(default_factory=new_median)  # the median is Tp
     queue_waits: SlidingMedian = field(default_factory=new_median)  # the median is Td
-    idle_before_use_ms: float = 0.0  # Ti: of the last speculative instance that came into use
-    speculates: bool = True  # whether cold starts may race busy warm instances
+    idle_before_use_ms: float = 0.0  # Ti: idle time of the last speculative instance before its first use
+    speculates: bool = True  # whether cold starts are allowed while warm instances are busy
 
     def pool_at(self, worker: Worker) -> InstancePool:
-        """The pool at a worker, added if missing. The function becomes the worker's last one."""
+        """Return the pool at a worker, adding it if missing, and make this the worker's last function."""
         worker.last_function = self
         pool = self.pools.get(worker.id)
         if pool is None:
--- a/function_router/decisions/requests.py
+++ b/function_router/decisions/requests.py
@@ -1,4 +1,4 @@
-"""The table of open requests, which have no final answer yet, and of attempts in flight."""
+"""The table of open requests, which are those without a final answer, and of attempts in flight."""
 
 from collections import deque
 
@@ -9,16 +9,16 @@
 class OpenRequests:
     """Owns the open requests and the attempts in flight.
 
-    An attempt may outlive its request, as it keeps its worker busy until it ends.
+    An attempt may outlive its request, because it keeps its worker busy until it ends.
     """
 
     def __init__(self) -> None:
         self.by_id: dict[str, Request] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}  # by request id and attempt number
-        self.recent_attempts: deque[Attempt] = deque()  # those that count against the in-flight limit
+        self.recent_attempts: deque[Attempt] = deque()  # attempts that count against the in-flight limit
 
     def add_attempt(self, request: Request, attempt: Attempt) -> None:
-        """Record a send of a request."""
+        """Add an attempt that is being sent."""
         self.attempts[request.id, len(request.attempts)] = attempt
         self.recent_attempts.append(attempt)
         request.attempts.append(attempt)
@@ -26,7 +26,7 @@
         attempt.worker.in_flight += 1
 
     def end_attempt(self, event: AttemptEnded) -> Attempt | None:
-        """Record the end of an attempt; None if it is not in flight."""
+        """Record the end of an attempt and return it; None if it is not in flight."""
         attempt = self.attempts.pop((event.request_id, event.attempt_number), None)
         if attempt is None:
             return None
@@ -39,6 +39,6 @@
         return attempt
 
     def expire_recent_attempts(self, max_age_ms: float, now_ms: float) -> None:
-        """Stop counting older attempts against the in-flight limit, as they are most likely lost."""
+        """Stop counting attempts above an age against the in-flight limit, as they are most likely lost."""
         while self.recent_attempts and now_ms - self.recent_attempts[0].sent_ms > max_age_ms:
             self.recent_attempts.popleft()
--- a/function_router/decisions/retries.py
+++ b/function_router/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Retries and hedges: sending a request again, or answering it if its class forbids that."""
+"""Retries and hedges, which send a request again unless its class forbids that."""
 
 from function_router.decisions.answers import Answers
 from function_router.decisions.dispatch import Dispatcher
@@ -8,16 +8,16 @@
 from function_router.decisions.requests import OpenRequests
 from function_router.decisions.retry_policy import RetryPolicy
 
-# Hedge budget: each request adds this fraction of a hedge, and no more than the maximum is saved up.
+# Hedge budget: each request adds this fraction of a hedge, up to the maximum.
 HEDGES_PER_REQUEST = 0.1
 MAX_HEDGE_BUDGET = 3.0
 
-# An attempt is overdue after this fraction of its latency objective at the latest.
+# An attempt counts as overdue after this fraction of its latency objective at the latest.
 OVERDUE_OBJECTIVE_FRACTION = 0.5
 
 
 class Retries:
-    """Sends requests again whose attempts have failed, are overdue or are presumed lost."""
+    """Sends a request again if its attempt has failed, is overdue or is presumed lost."""
 
     def __init__(
         self,
@@ -36,19 +36,19 @@
         self._hedge_budget = MAX_HEDGE_BUDGET
 
     def record_arrival(self) -> None:
-        """Add a new request's share to the hedge budget."""
+        """Increase the hedge budget for a new request."""
         self._hedge_budget = min(MAX_HEDGE_BUDGET, self._hedge_budget + HEDGES_PER_REQUEST)
 
     def record_answer(self, request: Request, attempt: Attempt) -> None:
-        """Refund a hedge to the budget if it was answered while the first attempt is still in flight."""
+        """Refund a hedge to the budget if it was answered while the first attempt was still in flight."""
         first = request.attempts[0]
         if attempt is not first and first.in_flight:
             self._hedge_budget += 1
 
     def retry_or_finish(self, request: Request, now_ms: float) -> None:
-        """Queue a request for another attempt where its class allows one; otherwise answer it.
+        """Queue a request for another attempt if its class allows one; otherwise answer it.
 
-        A request with an attempt still in flight waits for that instead.
+        If no further attempt is allowed while one is in flight, the request waits for that one.
         """
         if self._retry_policy.allows_attempt(request, now_ms):
             self._dispatcher.enqueue(request, now_ms)
@@ -56,7 +56,7 @@
             self._answers.finish(request)
 
     def retry_elsewhere(self, worker: Worker, now_ms: float) -> None:
-        """Retry the requests that are in flight at an unresponsive worker, or finish them."""
+        """Retry the requests in flight at an unresponsive worker, or answer those that can't be retried."""
         for attempt in list(self._requests.attempts.values()):
             if attempt.worker is not worker:
                 continue
@@ -66,7 +66,7 @@
                 self._dispatcher.dispatch(attempt.function, now_ms)
 
     def hedge_if_overdue(self, request: Request, now_ms: float) -> None:
-        """Queue a request for another attempt if its last one is overdue and the hedge budget allows it."""
+        """Queue a request for a hedge if its last attempt is overdue and the hedge budget allows it."""
         runs_ms = OVERDUE_AFTER_RUNS * self._durations.median_run_ms(request.function, now_ms)
         objective_ms = request.request_class.latency_objective_ms
         limit_ms = min(runs_ms, objective_ms * OVERDUE_OBJECTIVE_FRACTION)
@@ -79,10 +79,10 @@
             self._dispatcher.enqueue(request, now_ms)
 
     def retry_lost_attempts(self, now_ms: float) -> None:
-        """Count attempts that have been in flight for too long as failures of their workers.
+        """Presume attempts lost that take too long, and count them as failures of their workers.
 
-        If that trips the circuit breaker, the request is sent again, provided that a slot is free elsewhere
-        at once. Unresponsive workers are left out, as their requests have been retried already.
+        If this trips the circuit breaker, the request is sent again, but only if another worker has a free
+        slot now. Unresponsive workers are skipped, as their requests have been retried already.
         """
         for attempt in list(self._requests.attempts.values()):
             takes_too_long = self._takes_too_long(attempt, now_ms)
@@ -97,7 +97,7 @@
                 self._dispatcher.send_at_once(request, now_ms)
 
     def _takes_too_long(self, attempt: Attempt, now_ms: float) -> bool:
-        """Whether an attempt takes far longer than a run; less is enough if the breaker is tripped."""
+        """Whether an attempt takes much longer than a run. The limit is lower if the breaker is tripped."""
         has_failures = self._breakers.is_tripped(attempt.worker, attempt.class_name)
         runs = OVERDUE_AFTER_RUNS if has_failures else LOST_AFTER_RUNS
         run_ms = max(
--- a/function_router/decisions/retry_policy.py
+++ b/function_router/decisions/retry_policy.py
@@ -1,23 +1,24 @@
-"""Retry policy: which requests may be sent again, to which workers, and for how long."""
+"""The retry policy: which requests may be sent again, to which workers, and for how long."""
 
 from function_router.decisions.events import Endpoint
 from function_router.decisions.records import Request, Worker
 from function_router.decisions.settings import Settings
 from function_router.decisions.types import DeduplicationScope, RetrySafety
 
-# A retry must arrive within the idempotency window, and not just be sent within it.
+# Time between the last retry and the end of the idempotency window, as a retry must not only be sent but also
+# arrive within the window.
 IDEMPOTENCY_MARGIN_MS = 100.0
 
 
 class RetryPolicy:
-    """The rules of the request classes. Attempts that have certainly not run don't restrict further ones."""
+    """Applies the rules of the request classes. Attempts that provably did not run restrict no retries."""
 
     def __init__(self, settings: Settings) -> None:
         self._max_attempts = settings.max_attempts
         self._can_hedge = settings.can_hedge
 
     def allows_attempt(self, request: Request, now_ms: float) -> bool:
-        """Whether another attempt is allowed at all; it is a hedge if one is in flight."""
+        """Whether another attempt is allowed at any worker. It is a hedge if an attempt is in flight."""
         if len(request.attempts) >= self._max_attempts:
             return False
         if not self._can_hedge and request.has_attempt_in_flight():
@@ -32,10 +33,10 @@
         return request_class.retry_safety is RetrySafety.IDEMPOTENT
 
     def allows_worker(self, request: Request, worker: Worker, now_ms: float) -> bool:
-        """Whether a worker may get an attempt.
+        """Whether another attempt may go to a worker.
 
-        A worker that may have run the request gets it no second time. With an idempotency key, only workers
-        of the first one's deduplication scope get it again.
+        A worker that may have run the request never gets it again. With an idempotency key, retries go only
+        to workers in the same deduplication scope as the first worker that may have run it.
         """
         if any(attempt.worker.id == worker.id and attempt.may_have_run for attempt in request.attempts):
             return False
@@ -50,7 +51,7 @@
         return is_in_scope and self.allows_attempt(request, now_ms)
 
     def is_client_retry_safe(self, request: Request) -> bool:
-        """Whether it is harmless if the client sends the request again, whichever worker that reaches."""
+        """Whether the client may safely send the request again, whichever worker receives it."""
         request_class = request.request_class
         if request.first_possible_run() is None or request_class.retry_safety is RetrySafety.IDEMPOTENT:
             return True
@@ -59,7 +60,7 @@
 
 
 def _is_in_scope(scope: DeduplicationScope, first: Endpoint, second: Endpoint) -> bool:
-    """Whether a second worker suppresses a run that the first one may have begun."""
+    """Whether the second worker deduplicates a request that the first one may have run."""
     if scope is DeduplicationScope.ZONE:
         return first.zone == second.zone
     if scope is DeduplicationScope.CELL:
--- a/function_router/decisions/router.py
+++ b/function_router/decisions/router.py
@@ -1,7 +1,8 @@
-"""All decisions of one router: a short handler for each kind of event, and the order in which the parts act.
+"""The event handlers of a router. Each one calls the components in the order in which they must act.
 
-Each part has a module of its own and owns its state. A part calls only those that it was made with; what it
-notices for one above it, it returns. No part keeps a clock: the time of an event is handed down.
+Each component has its own module and owns its state. A component calls only the components that are passed to
+its constructor, and reports to those above it by return values. No component reads a clock: the time of the
+event is passed as an argument.
 """
 
 import math
@@ -27,23 +28,23 @@
 from function_router.decisions.types import Outcome
 from function_router.hashing import mix64
 
-# Idle functions and removed workers are forgotten this often.
+# Interval at which idle functions and removed workers are evicted.
 EVICTION_INTERVAL_MS = 15_000.0
 
-# After these, a worker has to prove again that it is ready: nothing was sent for want of a connection to the
-# process that did, or that process may have gone.
+# Outcomes after which a worker needs a new health check: either nothing was sent because there was no
+# connection to the process that answered the last check, or that process may be gone.
 LEASE_REVOKING_OUTCOMES = (Outcome.NOT_SENT, Outcome.RESET, Outcome.CONNECT_FAILED)
 
 
 class Router:
-    """Decides for one router: events in, actions out.
+    """Makes the decisions of one router: it takes events and returns actions.
 
-    The same events give the same actions, as randomness comes from the seed alone. Times are milliseconds
-    of the caller's clock, which never goes back.
+    The same events always give the same actions, because all randomness is derived from the seed. Times are
+    milliseconds on the caller's clock, which must be monotonic.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Wire the parts, the lower ones first."""
+        """Create the components, the lower layers first."""
         self.settings = settings
         self._next_seed = seed
         self._is_timer_set = False
@@ -67,7 +68,7 @@
         self._handlers = self._handlers_by_event()
 
     def _handlers_by_event(self) -> dict[type[events.Event], Callable[..., None]]:
-        """The handler of each kind of event, called with the event and its time."""
+        """Map each kind of event to its handler, which takes the event and its time."""
         return {
             events.EndpointsChanged: self._on_endpoints_changed,
             events.EndpointListConfirmed: self._on_endpoint_list_confirmed,
@@ -82,11 +83,11 @@
         }
 
     def handle(self, now_ms: float, batch: list[events.Event]) -> list[Action]:
-        """Decide on the events of one moment, in their order.
+        """Handle a batch of events that happen at the same time, in their order.
 
         Returns:
-            The actions, which are to be carried out at that moment in their order. After an exception,
-            `take_actions` gives those that were decided before it.
+            The actions, which the caller must carry out immediately and in their order. After an exception,
+            `take_actions` returns those that were decided before it.
         """
         arrivals = self.fleet.arrivals
         arrivals.observed_since_ms = min(arrivals.observed_since_ms, now_ms)
@@ -98,43 +99,43 @@
         return self.take_actions()
 
     def take_actions(self) -> list[Action]:
-        """What was decided and not returned yet: after an exception, by the events before it."""
+        """Return the actions not returned yet. After an exception, these are from the events before it."""
         return self._outbox.take()
 
     def revalidate_start_order(self, counted_ms: float, now_ms: float) -> float | None:
-        """Check a start order against the rate limit once more, at the moment when its first byte may leave.
+        """Check a start order against the rate limit again, when its first byte is about to be written.
 
-        An order that leaves shortly after it was decided stays counted as of `counted_ms`.
+        An order that is written soon after its decision keeps its time `counted_ms` in the rate limit.
 
         Returns:
-            When the order counts from now on; None if it must not leave.
+            The time at which the rate limit now counts the order; None if the order must not be sent.
         """
         return self.start_order_limits.revalidate(counted_ms, now_ms)
 
     def is_endpoint_list_current(self, now_ms: float) -> bool:
-        """Whether the endpoint list may be believed."""
+        """Whether the lease on the endpoint list is valid."""
         return self.fleet.leases.is_list_current(now_ms)
 
     def latest_connection_ms(self, worker_id: int, now_ms: float) -> float:
-        """Until when a connection to a worker must have been established to carry new work now.
+        """The latest time of establishment of a connection that may carry new work to a worker now.
 
         Returns:
-            The time; infinite if any connection may, and negative infinite if none may.
+            The time; infinity if every connection may carry new work, minus infinity if none may.
         """
         return self.fleet.leases.latest_connection_ms(worker_id, now_ms)
 
     def is_within_drain_grace(self, worker_id: int, at_ms: float) -> bool:
-        """Whether new work that left at some time was within the operator's grace, for run-time checks."""
+        """Whether new work that was sent at a given time obeyed the drain grace, for run-time checks."""
         return self.fleet.leases.is_within_grace(worker_id, at_ms)
 
     def _on_endpoints_changed(self, event: events.EndpointsChanged, now_ms: float) -> None:
-        """Apply the list, and dispatch what is queued, as other workers may take it now."""
+        """Apply the list, and dispatch queued requests, as other workers may be available now."""
         self.fleet.update_endpoints(event)
         self._refresh(now_ms)
         self._dispatcher.dispatch_all(now_ms)
 
     def _on_endpoint_list_confirmed(self, event: events.EndpointListConfirmed, now_ms: float) -> None:
-        """Believe the list again, and dispatch what was withheld while it was out of date."""
+        """Renew the lease on the list, and dispatch the requests withheld while it was out of date."""
         was_current = self.fleet.leases.is_list_current(now_ms)
         if self.fleet.leases.record_confirmed(event.as_of_ms, now_ms):
             self._on_ready_changed(now_ms)
@@ -142,11 +143,11 @@
             self._dispatcher.dispatch_all(now_ms)
 
     def _on_endpoint_list_interrupted(self, _event: events.EndpointListInterrupted, now_ms: float) -> None:
-        """Have the lease on the list run out."""
+        """Let the lease on the list expire."""
         self.fleet.leases.record_interrupted(now_ms)
 
     def _on_health_checked(self, event: events.HealthChecked, now_ms: float) -> None:
-        """Learn from the answer, and dispatch what waits for it, there or elsewhere."""
+        """Record the answer, and dispatch the requests that waited for it, to this or another worker."""
         worker = self.fleet.workers.by_id.get(event.worker_id)
         if worker is None:
             return
@@ -158,12 +159,12 @@
         self._dispatcher.dispatch_all(now_ms)
 
     def _on_ready_changed(self, now_ms: float) -> None:
-        """Adapt to other ready workers than before, as after an event of the list."""
+        """Update what depends on the ready workers, after health checks have changed them."""
         self.fleet.health.recount_unresponsive()
         self._refresh(now_ms)
 
     def _on_request_arrived(self, event: events.RequestArrived, now_ms: float) -> None:
-        """Queue the request, look for instances if none is known, and dispatch its function."""
+        """Queue the request, look for instances if none is known, and dispatch the function."""
         self.fleet.arrivals.record(event, now_ms)
         request = self._make_request(event, now_ms)
         function = request.function
@@ -178,7 +179,7 @@
         self._dispatcher.dispatch(function, now_ms)
 
     def _make_request(self, event: events.RequestArrived, now_ms: float) -> Request:
-        """The record of a new request, with its function, class, deadline and random bits."""
+        """Create the record of a new request, with its function, class, deadline and random bits."""
         functions = self.fleet.functions
         if functions.is_full() and event.function not in functions.by_name:
             self.fleet.evict_unused(now_ms)
@@ -198,16 +199,16 @@
         )
 
     def _on_request_cancelled(self, event: events.RequestCancelled, _now_ms: float) -> None:
-        """Close the request without an answer. Its attempts are cancelled and end by themselves."""
+        """Close the request without an answer, and cancel its attempts. Each still ends with an event."""
         self.fleet.arrivals.cancel(event)
         request = self.requests.by_id.get(event.request_id)
         if request is not None:
             self._answers.close(request)
 
     def _on_attempt_ended(self, event: events.AttemptEnded, now_ms: float) -> None:
-        """Learn from the end, close or retry the request, and use the slot that has become free.
+        """Update the estimates, close or retry the request, and use the slot that has become free.
 
-        By then, the request may be closed already, or queued again for a hedge.
+        The request may have been closed before, or may be queued again for a hedge.
         """
         attempt = self.requests.end_attempt(event)
         if attempt is None:
@@ -227,7 +228,7 @@
         self._dispatcher.dispatch(function, now_ms)
 
     def _on_instances_reported(self, event: events.InstancesReported, now_ms: float) -> None:
-        """Learn from the report, end the start order or probe that it answers, and dispatch the function."""
+        """Update the estimates, end the start order or probe, and dispatch the function."""
         function = self.fleet.functions.by_name.get(event.function)
         worker = self.fleet.workers.by_id.get(event.worker_id)
         if function is None or worker is None:
@@ -245,12 +246,12 @@
         self._dispatcher.dispatch(function, now_ms)
 
     def _revoke_lease_after(self, outcome: Outcome, worker: Worker) -> None:
-        """End a worker's lease where an exchange shows that its process or its connections may have gone."""
+        """Revoke a worker's lease if the outcome suggests that its process or its connections are gone."""
         if outcome in LEASE_REVOKING_OUTCOMES:
             self.fleet.leases.revoke(worker)
 
     def _on_timer_fired(self, _event: events.TimerFired, now_ms: float) -> None:
-        """Check all that depends on time: due requests, hedges, lost attempts, silent workers, limits."""
+        """Do the periodic checks: due requests, hedges, lost attempts, silent workers and limits."""
         self._is_timer_set = False
         capacity = self.fleet.capacity
         for request in list(self.requests.by_id.values()):
@@ -269,12 +270,12 @@
             self._dispatcher.dispatch_all(now_ms)
 
     def _on_drain_started(self, event: events.DrainStarted, now_ms: float) -> None:
-        """Shorten all deadlines, so that each request is answered before the process ends."""
+        """Shorten all deadlines so that each request is answered before the process exits."""
         for request in self.requests.by_id.values():
             request.deadline_ms = min(request.deadline_ms, now_ms + event.within_ms)
 
     def _refresh(self, now_ms: float) -> None:
-        """Recompute the limits, and now and then forget what is no longer used."""
+        """Recompute the limits, and evict unused records at longer intervals."""
         if now_ms - self._evicted_ms >= EVICTION_INTERVAL_MS:
             self._evicted_ms = now_ms
             self.fleet.evict_unused(now_ms)
--- a/function_router/decisions/scaling.py
+++ b/function_router/decisions/scaling.py
@@ -1,9 +1,9 @@
-"""Scaling: conditional speculative scaling after CIDRE, and probes.
+"""Probes, and cold starts by the conditional speculative scaling of CIDRE.
 
-A request that finds no free slot of a warm instance is queued. If all warm instances are busy, one cold
-start races them for it, as long as the function's switch allows that (see `speculation`). If there is no
-warm instance, a cold start is ordered in any case; before it, workers are probed, as other routers may have
-started instances.
+A request that finds no free slot of a warm instance is queued. If all warm instances are busy, a speculative
+cold start is ordered, provided that speculation is enabled for the function (see `speculation`). The request
+then goes to whichever instance is free first. If there is no warm instance, a cold start is ordered in any
+case. Workers are probed before it, as other routers may have started instances.
 """
 
 import math
@@ -18,18 +18,18 @@
 from function_router.decisions.start_orders import StartOrders
 from function_router.decisions.types import Outcome
 
-# A cold start waits this long for pending probes of its function: about one round trip to a worker.
+# How long a cold start waits for pending probes of its function. This is about one round trip to a worker.
 PROBE_WAIT_MS = 12.0
 
-# A new request doesn't cause another probe of a worker for this long.
+# Minimum interval between probes of a worker that are caused by new requests.
 PROBE_TTL_MS = 5_000.0
 
-# For a function without a known instance, this many workers are probed at once.
+# Number of workers that are probed at the same time for a function without a known instance.
 PROBE_FANOUT = 4
 
 
 class Scaling:
-    """Decides when workers are probed for instances, and when instances are started."""
+    """Decides when to probe workers for instances, and when to start instances."""
 
     def __init__(
         self,
@@ -49,10 +49,10 @@
         self._start_orders = start_orders
 
     def order_starts(self, function: Function, now_ms: float) -> None:
-        """Order cold starts for the queued requests, which race the busy warm instances if there are any.
+        """Order cold starts for the queued requests; these are speculative if there are warm instances.
 
-        One start serves as many requests as an instance has slots. Pending ones count as well. There is none
-        while an answer is expected that may make one unnecessary.
+        One start is ordered for as many requests as an instance has slots, less the pending starts. None is
+        ordered while a health check or probe is pending whose answer may make a start unnecessary.
         """
         if function.awaits_check or self._has_recent_probe(function, now_ms):
             return
@@ -69,7 +69,7 @@
                 return
 
     def _count_pending_starts(self, function: Function, now_ms: float) -> int:
-        """The number of pending start orders at usable workers."""
+        """Count the pending start orders at usable workers."""
         return sum(
             function.pools[worker.id].start_ordered_ms is not None
             for worker in self._placement.workers_with_pool(function)
@@ -77,10 +77,10 @@
         )
 
     def _count_requests_needing_start(self, function: Function, now_ms: float, *, is_warm: bool) -> int:
-        """The number of queued requests for which starts are ordered.
+        """Count the queued requests for which starts are ordered.
 
-        If there is a warm instance, requests over quota wait for it. With many routers, so do those that
-        will miss their objective.
+        If there is a warm instance, requests over quota wait for it and are not counted. With many routers,
+        the same applies to requests that will miss their objective.
         """
         if not is_warm:
             return len(function.queue)
@@ -94,9 +94,9 @@
         return count
 
     def find_instances(self, function: Function, request: Request, now_ms: float) -> None:
-        """Find instances for a new request, unless one is known that can take it.
+        """Look for instances for a new request by probes, unless a warm one is known that can take it.
 
-        With many routers, each asks only its first preferred worker, which is mostly the same for all.
+        With many routers, each probes only its first preferred worker, which is mostly the same for all.
         """
         if self._capacity.many_routers:
             if self._placement.is_warm_with_headroom(function, now_ms):
@@ -110,7 +110,7 @@
             self._ensure_instance(function, worker, now_ms)
 
     def _ensure_instance(self, function: Function, worker: Worker, now_ms: float) -> None:
-        """Probe a worker without a known instance; with many routers, start one if it was just probed."""
+        """Probe a worker without a known instance. With many routers, start one if it was just probed."""
         pool = function.pool_at(worker)
         is_usable = self._health.is_usable(worker, function.class_name, now_ms)
         if not (is_usable and self._can_order_starts):
@@ -126,7 +126,7 @@
             self._start_orders.order_if_lease_valid(function, worker, now_ms, is_speculative=is_warm)
 
     def has_free_slot_or_probe(self, request: Request, worker: Worker, now_ms: float) -> bool:
-        """Whether a worker has a free slot for a request; if that is in doubt, the worker is probed."""
+        """Whether a worker has a free slot for a request. If this is uncertain, the worker is probed."""
         state = self._instances.slot_state(request, worker, now_ms)
         if state is not SlotState.UNVERIFIED:
             return state is SlotState.FREE
@@ -137,11 +137,11 @@
         return False
 
     def must_wait_for_probe(self, function: Function, now_ms: float) -> bool:
-        """Whether requests wait for a pending probe of the function at any worker, with many routers only."""
+        """Whether requests must wait for a pending probe of the function. Applies only with many routers."""
         return self._capacity.many_routers and self._has_recent_probe(function, now_ms)
 
     def _has_recent_probe(self, function: Function, now_ms: float) -> bool:
-        """Whether a probe of a function is pending, and not for longer than about a round trip."""
+        """Whether a probe of a function is pending, for no longer than about one round trip."""
         if now_ms - function.last_probed_ms >= PROBE_WAIT_MS:
             return False
         return any(pool.pending_probes for pool in function.pools.values())
@@ -149,7 +149,10 @@
     def record_probe_answer(
         self, function: Function, worker: Worker, event: InstancesReported, now_ms: float
     ) -> None:
-        """Record the end of a probe; with many routers, the first workers start missing instances."""
+        """Record the end of a probe. With many routers, the first workers in hash order start an instance.
+
+        They do so only if they have none.
+        """
         pool = function.pool_at(worker)
         pool.pending_probes = max(0, pool.pending_probes - 1)
         if not self._capacity.many_routers or event.outcome is not Outcome.OK:
--- a/function_router/decisions/speculation.py
+++ b/function_router/decisions/speculation.py
@@ -1,6 +1,6 @@
-"""Speculation: whether a cold start may race the busy warm instances of a function.
+"""Speculation: whether a cold start may be ordered while warm instances of a function are busy.
 
-This is the switch of CIDRE's conditional speculative scaling.
+This is the condition of CIDRE's conditional speculative scaling.
 """
 
 from function_router.decisions.durations import Durations
@@ -8,18 +8,18 @@
 
 
 class Speculation:
-    """Toggles the switch of each function, which is on at first.
+    """Enables and disables speculation for each function. It is enabled initially.
 
-    It goes off once a speculative instance idles for longer than a run takes (Ti > Te), as the request
-    could have waited for a busy one. It goes on again once requests wait for longer than a start takes (Td
-    > Tp).
+    Speculation is disabled when a speculative instance idles for longer than a run takes (Ti > Te), because
+    the request could have waited for a busy instance. It is enabled again when requests wait for longer than
+    a start takes (Td > Tp).
     """
 
     def __init__(self, durations: Durations) -> None:
         self._durations = durations
 
     def update(self, function: Function, now_ms: float) -> bool:
-        """Toggle the switch if it is due; returns whether it is on now."""
+        """Toggle speculation if its condition is met; returns whether it is enabled now."""
         if function.speculates:
             idle_ms = self._idle_before_use_ms(function, now_ms)
             should_toggle = idle_ms > self._durations.median_run_ms(function, now_ms)
@@ -31,7 +31,7 @@
         return function.speculates
 
     def _idle_before_use_ms(self, function: Function, now_ms: float) -> float:
-        """Ti, or the idle time so far of a speculative instance that is still unused, if that is longer."""
+        """Ti, or the idle time so far of a speculative instance that is still unused if that is longer."""
         idle_ms = function.idle_before_use_ms
         for pool in function.pools.values():
             if pool.unused_since_ms is not None:
@@ -39,12 +39,12 @@
         return idle_ms
 
     def _queue_wait_ms(self, function: Function, now_ms: float) -> float:
-        """Td, or the wait so far of the request that has been queued for longest, if that is longer."""
+        """Td, or the wait so far of the request that was queued first if that is longer."""
         oldest_ms = min((request.queued_ms for request in function.queue), default=now_ms)
         return max(now_ms - oldest_ms, function.queue_waits.median(now_ms) or 0.0)
 
     def _toggle(self, function: Function) -> None:
-        """Toggle the switch, and forget the times that led to it."""
+        """Toggle speculation, and reset the times that led to it."""
         function.speculates = not function.speculates
         function.idle_before_use_ms = 0.0
         function.queue_waits.clear()
--- a/function_router/decisions/start_order_limits.py
+++ b/function_router/decisions/start_order_limits.py
@@ -1,22 +1,22 @@
-"""Limits on start orders: how many may be pending at once, and their rate limit."""
+"""Limits on start orders: the number of pending ones, and their rate."""
 
 from function_router.decisions.arrivals import MAX_START_ORDER_DELAY_MS, Arrivals
 from function_router.decisions.settings import Settings
 from function_router.limits import AdaptiveLimit
 from function_router.statistics import SlidingWindow
 
-# Limit on pending start orders: its initial, least and greatest value. Workers load functions from a shared
-# store, which slows down when many start at once.
+# Initial, minimum and maximum value of the limit on pending start orders. Workers load functions from a
+# shared store, which slows down when many instances start at the same time.
 INITIAL_PENDING_ORDERS = 8.0
 MIN_PENDING_ORDERS = 2.0
 MAX_PENDING_ORDERS = 24.0
 
-# A slow or failed start lowers the limit by this fraction.
+# Fraction by which a slow or failed start lowers the limit.
 PENDING_ORDERS_DECREASE = 0.2
 
 
 class StartOrderLimits:
-    """Counts start orders that are pending, and those sent within the window of the rate limit."""
+    """Counts the pending start orders, and those within the window of the rate limit."""
 
     def __init__(self, settings: Settings, arrivals: Arrivals) -> None:
         self._settings = settings
@@ -28,7 +28,7 @@
             maximum=MAX_PENDING_ORDERS,
             decrease=PENDING_ORDERS_DECREASE,
         )
-        self.sent = SlidingWindow()  # when start orders were sent, or decided if they are not sent yet
+        self.sent = SlidingWindow()  # times at which start orders count: of the decision, or of a late send
 
     def allows_order(self, now_ms: float) -> bool:
         """Whether one more start order may be sent now."""
@@ -39,7 +39,8 @@
         """Whether one more start order, sent now, would exceed the rate limit."""
         settings = self._settings
         window_ms = settings.start_order_window_ms
-        # An order counts from its decision, but may be sent later by the delay: it is kept for longer by it.
+        # An order counts from its decision, but may be sent up to the maximum delay later, so it is kept for
+        # that much longer.
         self.sent.remove_before(now_ms - window_ms - settings.tick_ms - MAX_START_ORDER_DELAY_MS)
         self._arrivals.drop_old(now_ms)
         requests = len(self._arrivals.recent)
@@ -56,7 +57,7 @@
         self._pending -= 1
 
     def revalidate(self, counted_ms: float, now_ms: float) -> float | None:
-        """Check an order again that is sent long after its decision; see `Router.revalidate_start_order`."""
+        """Check an order again if it is sent long after its decision; see `Router.revalidate_start_order`."""
         if now_ms - counted_ms <= MAX_START_ORDER_DELAY_MS:
             return counted_ms
         self.sent.discard(counted_ms)
--- a/function_router/decisions/start_orders.py
+++ b/function_router/decisions/start_orders.py
@@ -1,4 +1,4 @@
-"""Start orders: at which worker an instance is started, and how starts are recorded."""
+"""Start orders: which worker starts an instance, and what is recorded about starts."""
 
 from function_router.decisions.actions import EnsureInstances
 from function_router.decisions.endpoint_leases import LeaseStatus
@@ -9,18 +9,18 @@
 from function_router.decisions.start_order_limits import StartOrderLimits
 from function_router.decisions.types import Outcome
 
-# No more instances of a function than this are ordered at one worker.
+# Maximum number of instances of a function that are ordered at one worker.
 MAX_INSTANCES_AT_WORKER = 16
 
-# After a failed start, the worker gets neither attempts nor start orders of the function for this long.
+# How long after a failed start the worker gets neither attempts nor start orders of the function.
 FAILED_START_BLOCK_MS = 1_000.0
 
-# A start that takes this many times the usual lowers the limit on pending start orders.
+# A start that takes at least this multiple of the usual time lowers the limit on pending start orders.
 LONG_START_FACTOR = 2.5
 
 
 class StartOrders:
-    """Orders starts of instances, one at a time for each function and worker."""
+    """Orders instances. At most one order is pending for each function and worker."""
 
     def __init__(
         self,
@@ -55,12 +55,12 @@
         return self._limits.allows_order(now_ms)
 
     def choose_worker(self, function: Function, now_ms: float, *, is_speculative: bool) -> Worker | None:
-        """The worker that is to start an instance for the queue; None if none can now.
+        """Choose the worker that starts an instance for the queue; None if no worker can now.
 
-        That is the first one that can start an instance, has none yet and is below its load bound, or else
+        This is the first worker that can start an instance, has none yet and is below its load bound, or else
         the first one that can start an instance. Workers are tried in the order of preference of the request
-        at the head of the queue, and then in hash order. Those from which no proof of readiness can be had
-        are passed over.
+        at the head of the queue, and then in hash order. A worker without a valid lease is skipped, unless
+        its health check is pending.
         """
         if not self._limits.allows_order(now_ms):
             return None
@@ -82,14 +82,14 @@
         return next(preferable, None) or next(eligible, None)
 
     def _can_host_first_instance(self, function: Function, worker: Worker, now_ms: float) -> bool:
-        """Whether a worker has no instance yet, and is below its load bound."""
+        """Whether a worker has no instance yet and is below its load bound."""
         pool = function.pools.get(worker.id)
         if pool is not None and self._instances.count(pool, worker, now_ms):
             return False
         return self._placement.is_below_load_bound(worker, len(self._requests.attempts), now_ms)
 
     def _may_get_lease(self, function: Function, worker: Worker, now_ms: float) -> bool:
-        """Whether a worker is proven to be ready, or has just been asked."""
+        """Whether a lease is valid for a worker, or its health check is pending."""
         return (
             self._leases.check_lease(worker, function.name, now_ms, may_check=True) is not LeaseStatus.MISSING
         )
@@ -97,14 +97,14 @@
     def order_if_lease_valid(
         self, function: Function, worker: Worker, now_ms: float, *, is_speculative: bool
     ) -> bool:
-        """Order one more instance at a worker that is proven to be ready; False if none was ordered."""
+        """Order one more instance at a worker if its lease is valid; returns whether one was ordered."""
         status = self._leases.check_lease(worker, function.name, now_ms, may_check=True)
         if status is LeaseStatus.VALID:
             self.order(function, worker, now_ms, is_speculative=is_speculative)
         return status is LeaseStatus.VALID
 
     def order(self, function: Function, worker: Worker, now_ms: float, *, is_speculative: bool) -> None:
-        """Order one more instance than a worker is believed to have, and expect no reply while it starts."""
+        """Order one more instance than a worker is presumed to have. No reply is due during the start."""
         pool = function.pool_at(worker)
         pool.start_ordered_ms = now_ms
         pool.is_speculative = is_speculative
@@ -115,7 +115,7 @@
         self._outbox.add(EnsureInstances(worker.id, function.name, pool.ordered_count))
 
     def record_end(self, function: Function, pool: InstancePool, outcome: Outcome, now_ms: float) -> None:
-        """Record the end of a start order: how long the start took, or that it failed."""
+        """Record the end of a start order, with the duration of the start or its failure."""
         start_ms = now_ms - (pool.start_ordered_ms or 0.0)
         usual_ms = function.hinted_start_ms or self._durations.median_start_ms(function, now_ms)
         pool.start_ordered_ms = None
--- a/function_router/decisions/types.py
+++ b/function_router/decisions/types.py
@@ -1,10 +1,10 @@
-"""Enumerations that events and settings share. Nothing is decided here."""
+"""Enumerations that are shared by events and settings. This module contains no decision logic."""
 
 from enum import Enum, IntEnum
 
 
 class RetrySafety(Enum):
-    """What happens if a request is run twice; the values are those of the configuration."""
+    """Whether a request may run twice. The values are those of the configuration."""
 
     IDEMPOTENT = "idempotent"
     IDEMPOTENCY_KEY = "deduplicated"
@@ -12,7 +12,7 @@
 
 
 class DeduplicationScope(Enum):
-    """The workers among which a second run of a request with an idempotency key is suppressed."""
+    """The set of workers that deduplicate a request by its idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -20,7 +20,7 @@
 
 
 class WorkerState(IntEnum):
-    """A worker's state in the endpoint list; the values are those of the simulator's wire."""
+    """A worker's state in the endpoint list. The values are those of the simulator protocol."""
 
     READY = 1
     DRAINING = 2
@@ -28,15 +28,15 @@
 
 
 class Readiness(Enum):
-    """What a worker answers to a health check."""
+    """A worker's answer to a health check."""
 
     READY = "ready"
     DRAINING = "draining"
-    UNKNOWN = "unknown"  # it gave no usable answer
+    UNKNOWN = "unknown"  # no usable answer
 
 
 class Outcome(Enum):
-    """How an attempt, a start order or a probe ended; the values are those of the simulator's wire."""
+    """Result of an attempt, start order or probe. The values are those of the simulator protocol."""
 
     OK = "GOOD"
     ERROR = "BAD"
@@ -50,7 +50,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the worker may have run the request; False where the outcome proves that it did not."""
+        """Whether the worker may have run the request. False if the outcome proves that it did not."""
         return self not in _NEVER_RAN
 
 
@@ -58,9 +58,9 @@
 
 
 class StartKind(IntEnum):
-    """How the instance that served a request was found; UNKNOWN if the answer doesn't say.
+    """How a request got its instance. UNKNOWN if the answer doesn't say.
 
-    The values are those of the simulator's wire.
+    The values are those of the simulator protocol.
     """
 
     UNKNOWN = 0
--- a/function_router/decisions/workers.py
+++ b/function_router/decisions/workers.py
@@ -1,4 +1,4 @@
-"""The table of workers, as the endpoint list has them."""
+"""The table of workers, which follows the endpoint list."""
 
 import math
 
@@ -10,22 +10,22 @@
 from function_router.decisions.types import WorkerState
 from function_router.hashing import hash64
 
-# A worker that was removed from the endpoint list is kept for this long, in case it comes back.
+# How long a worker is kept after its removal from the endpoint list, in case it comes back.
 REMOVED_WORKER_TTL_MS = 60_000.0
 
-# Smaller sizes are taken to be this one, as sizes are divisors.
+# Lower bound that is applied to sizes, because sizes are used as divisors.
 MIN_MACHINE_SIZE = 0.01
 
 
 class WorkerTable:
-    """Owns the worker records, and knows which workers are ready."""
+    """Owns the worker records, and tracks which workers are ready."""
 
     def __init__(self, settings: Settings) -> None:
         self._are_sizes_known = settings.worker_sizes_known
         self.by_id: dict[int, Worker] = {}
         self.ready: list[Worker] = []
-        self.ready_sizes: dict[int, float] = {}  # by id; replaced by a new dict when anything changes
-        self.max_total_size = MIN_MACHINE_SIZE  # greatest total size that the ready workers have had
+        self.ready_sizes: dict[int, float] = {}  # by id; replaced by a new dict whenever an entry changes
+        self.max_total_size = MIN_MACHINE_SIZE  # maximum total size of the ready workers so far
 
     def update(self, event: EndpointsChanged) -> None:
         """Apply a complete endpoint list, or the changes in it."""
@@ -36,15 +36,15 @@
         self._recompute_ready()
 
     def set_drain_reported(self, worker: Worker, reported_ms: float | None) -> None:
-        """Note when a worker said that it drains, or that this no longer holds; it is not ready meanwhile."""
+        """Set when a worker reported its drain; None if it does not drain. A draining worker is not ready."""
         was_ready = worker.is_ready
         worker.lease.drain_reported_ms = reported_ms
         if worker.is_ready is not was_ready:
             self._recompute_ready()
 
     def _recompute_ready(self) -> None:
-        """Recompute what depends on which workers are ready."""
-        ready_state = WorkerState.READY  # and no call of `is_ready`: a large list has thousands of workers
+        """Recompute what depends on the set of ready workers."""
+        ready_state = WorkerState.READY  # `is_ready` is not called, as a large list has thousands of workers
         self.ready = [
             worker
             for worker in self.by_id.values()
@@ -56,14 +56,14 @@
         self.max_total_size = max(self.max_total_size, sum(worker.machine_size for worker in self.ready))
 
     def _mark_missing_as_removed(self, endpoints: list[Endpoint]) -> None:
-        """Mark the workers that a complete list no longer names."""
+        """Mark the workers that a complete list no longer contains as removed."""
         listed = {endpoint.worker_id for endpoint in endpoints}
         for worker_id in self.by_id.keys() - listed:
             worker = self.by_id[worker_id]
             worker.endpoint = structs.replace(worker.endpoint, state=WorkerState.REMOVED)
 
     def _apply(self, endpoint: Endpoint) -> None:
-        """Add or update one worker; a later start time than the one known restarts its slow start."""
+        """Add or update one worker. A later start time than the known one restarts its slow start."""
         worker = self.by_id.get(endpoint.worker_id)
         if worker is None:
             worker = Worker(endpoint.worker_id, endpoint, hash64(str(endpoint.worker_id)))
@@ -79,7 +79,7 @@
             worker.recount_slow_start_sends()
 
     def evict_removed(self, now_ms: float) -> list[Worker]:
-        """Drop and return the workers that were removed long ago and have no attempts in flight."""
+        """Evict and return the workers that were removed long ago and have no attempts in flight."""
         expired_ms = now_ms - REMOVED_WORKER_TTL_MS
         evicted = []
         for worker in self.by_id.values():
--- a/function_router/limits.py
+++ b/function_router/limits.py
@@ -1,13 +1,13 @@
-"""Limiters and a circuit breaker. They know nothing of requests, workers or settings.
+"""Limiters and a circuit breaker, which don't depend on requests, workers or settings.
 
-Times are milliseconds of the caller's clock. Nothing here reads a clock or is random.
+Times are milliseconds on the caller's clock. The module reads no clock and uses no randomness.
 """
 
 import math
 
 
 class TokenBucket:
-    """Tokens that refill at a rate up to a capacity; both may change from one call to the next."""
+    """A token bucket that refills at a rate up to a capacity. Both may change from call to call."""
 
     __slots__ = ("_tokens", "_updated_at_ms")
 
@@ -17,7 +17,7 @@
         self._updated_at_ms = now_ms
 
     def try_take(self, now_ms: float, rate_per_s: float, capacity: float) -> bool:
-        """Take one token; False if there is no whole one."""
+        """Take one token; returns False if less than one token is left."""
         refilled = self._tokens + rate_per_s * (now_ms - self._updated_at_ms) / 1000
         self._tokens = min(capacity, refilled)
         self._updated_at_ms = now_ms
@@ -28,28 +28,28 @@
 
 
 class AdaptiveLimit:
-    """A limit by additive increase and multiplicative decrease (AIMD)."""
+    """A limit that is adapted by additive increase and multiplicative decrease (AIMD)."""
 
     __slots__ = ("_decrease", "_maximum", "_minimum", "value")
 
     def __init__(self, value: float, minimum: float, maximum: float, decrease: float) -> None:
-        """Start at `value`; a failure lowers the limit by the fraction `decrease` of it."""
+        """Start at `value`. A failure lowers the limit by the fraction `decrease`."""
         self.value = value
         self._minimum = minimum
         self._maximum = maximum
         self._decrease = decrease
 
     def record(self, *, success: bool) -> None:
-        """Raise the limit by 1 / limit after a success, so by one a round; lower it after a failure."""
+        """Raise the limit by 1 / limit after a success, so by one per round; lower it after a failure."""
         value = self.value + (1 / self.value if success else -self._decrease * self.value)
         self.value = min(self._maximum, max(self._minimum, value))
 
 
 class CircuitBreaker:
-    """Opens after some failures; a success takes back a fraction of them.
+    """A circuit breaker that opens at a number of failures. A success reduces that number by a fraction.
 
-    Once its time is over it is half-open: one request passes as a trial, and the breaker is open again
-    at once for twice as long. It closes when successes have taken back enough of the failures.
+    When its open time is over, the breaker is half-open: one request passes as a trial, and the breaker opens
+    again at once for twice as long. It closes when successes have reduced the failures below the threshold.
     """
 
     __slots__ = (
@@ -62,7 +62,7 @@
     )
 
     def __init__(self, threshold: float, decay_factor: float, open_ms: float, max_open_ms: float) -> None:
-        """Open at `threshold` failures, for `open_ms` at first; a success keeps this fraction of them."""
+        """Open at `threshold` failures, at first for `open_ms`. A success scales them by `decay_factor`."""
         self._threshold = threshold
         self._decay_factor = decay_factor
         self._open_for_ms = open_ms
@@ -72,7 +72,7 @@
 
     @property
     def is_tripped(self) -> bool:
-        """Whether enough failures are counted to open it."""
+        """Whether the number of failures has reached the threshold."""
         return self._failures >= self._threshold
 
     @property
@@ -81,25 +81,25 @@
         return self._failures < 1
 
     def has_open_time_left(self, now_ms: float) -> bool:
-        """Whether the time for which it was opened last is not over, even if successes have closed it."""
+        """Whether the last open time is not over yet, even if successes have closed the breaker."""
         return self._open_until_ms > now_ms
 
     def is_open(self, now_ms: float) -> bool:
-        """Whether requests are held back now."""
+        """Whether requests must not pass now."""
         return self.is_tripped and now_ms < self._open_until_ms
 
     def record_failure(self, now_ms: float) -> None:
-        """Count a failure, which may open it."""
+        """Count a failure, which may open the breaker."""
         self._failures += 1
         if self.is_tripped:
             self._open_until_ms = max(self._open_until_ms, now_ms + self._open_for_ms)
 
     def record_success(self, *, was_counted_as_failure: bool) -> None:
-        """Take back the one failure that this success was counted as before, or else a fraction of all."""
+        """Remove the failure that was counted for this success before, or else a fraction of all failures."""
         self._failures = self._failures - 1 if was_counted_as_failure else self._failures * self._decay_factor
 
     def record_trial(self, now_ms: float) -> None:
-        """Note that a request passes: a tripped breaker opens again at once, for twice as long."""
+        """Record that a request passes. A tripped breaker opens again at once, for twice as long."""
         if self.is_tripped:
             self._open_for_ms = min(self._max_open_ms, 2 * self._open_for_ms)
             self._open_until_ms = now_ms + self._open_for_ms
--- a/function_router/statistics.py
+++ b/function_router/statistics.py
@@ -1,6 +1,6 @@
-"""Statistics over sliding windows. They know nothing of requests, workers or settings.
+"""Statistics over sliding windows, which don't depend on requests, workers or settings.
 
-Times are milliseconds of the caller's clock. Nothing here reads a clock or is random.
+Times are milliseconds on the caller's clock. The module reads no clock and uses no randomness.
 """
 
 import math
@@ -9,12 +9,12 @@
 
 
 class SlidingMedian:
-    """The upper median of the samples in a sliding window, cached for a while as sorting is slow."""
+    """The upper median of the samples in a sliding window. It is cached for a while, as sorting is slow."""
 
     __slots__ = ("_calculated_at_ms", "_refresh_ms", "_samples", "_value", "_window_ms")
 
     def __init__(self, window_ms: float, max_samples: int, refresh_ms: float) -> None:
-        """Keep the last `max_samples` of `window_ms`; a median is cached for `refresh_ms`."""
+        """Keep at most `max_samples` of the last `window_ms`. A median is cached for `refresh_ms`."""
         self._window_ms = window_ms
         self._refresh_ms = refresh_ms
         self._samples: deque[tuple[float, float]] = deque(maxlen=max_samples)
@@ -22,11 +22,11 @@
         self._calculated_at_ms = -math.inf
 
     def __bool__(self) -> bool:
-        """Whether there is a sample, even if the next median will drop it as too old."""
+        """Whether there is any sample, even one that the next call of `median` will drop as too old."""
         return bool(self._samples)
 
     def add(self, now_ms: float, value: float) -> None:
-        """Add a sample, not older than the last one."""
+        """Add a sample, which must not be older than the last one."""
         self._samples.append((now_ms, value))
 
     def clear(self) -> None:
@@ -35,7 +35,7 @@
         self._calculated_at_ms = -math.inf
 
     def median(self, now_ms: float) -> float | None:
-        """The median, at most `refresh_ms` old; None without a sample."""
+        """The median, computed at most `refresh_ms` ago; None without samples."""
         if now_ms - self._calculated_at_ms >= self._refresh_ms:
             while self._samples and self._samples[0][0] < now_ms - self._window_ms:
                 self._samples.popleft()
@@ -46,7 +46,7 @@
 
 
 class DecayingCounter:
-    """A count that decays exponentially: an addition counts 1/e after `window_ms`."""
+    """A count that decays exponentially, with the time constant `window_ms`."""
 
     __slots__ = ("_count", "_updated_at_ms", "_window_ms")
 
@@ -81,11 +81,11 @@
         self._times_ms: deque[float] = deque()
 
     def __len__(self) -> int:
-        """The number of timestamps."""
+        """Return the number of timestamps."""
         return len(self._times_ms)
 
     def __iter__(self) -> Iterator[float]:
-        """The timestamps, oldest first."""
+        """Iterate over the timestamps, oldest first."""
         return iter(self._times_ms)
 
     def clear(self) -> None:
@@ -93,7 +93,7 @@
         self._times_ms.clear()
 
     def add(self, time_ms: float) -> None:
-        """Append a timestamp, not older than the last one."""
+        """Append a timestamp, which must not be older than the last one."""
         self._times_ms.append(time_ms)
 
     def discard(self, time_ms: float) -> None:
@@ -102,38 +102,38 @@
             self._times_ms.remove(time_ms)
 
     def remove_before(self, time_ms: float, *, inclusive: bool = False) -> None:
-        """Drop entries before `time_ms`, or at it too if `inclusive`."""
+        """Drop entries before `time_ms`, and also those at `time_ms` if `inclusive`."""
         times_ms = self._times_ms
         while times_ms and (times_ms[0] < time_ms or (inclusive and times_ms[0] == time_ms)):
             times_ms.popleft()
 
 
 class ArrivalRate:
-    """A rate of arrivals that follows a burst at once and then decays exponentially.
+    """An arrival rate that follows a burst at once and then decays exponentially.
 
-    It is the greater of two estimates: a decaying count over its time constant, and the last few arrivals
-    over the time since the first of them.
+    The rate is the greater of two estimates: a decaying count divided by its time constant, and the number of
+    the last few arrivals divided by the time since the first of them.
     """
 
     __slots__ = ("_count", "_decay_ms", "_last_ms")
 
     def __init__(self, decay_ms: float, burst: int) -> None:
-        """Decay with the time constant `decay_ms`; the last `burst` arrivals are also rated by themselves."""
+        """Decay with the time constant `decay_ms`. The second estimate uses the last `burst` arrivals."""
         self._decay_ms = decay_ms
         self._count = 0.0
         self._last_ms: deque[float] = deque(maxlen=burst)
 
     @property
     def last_ms(self) -> float:
-        """Time of the last arrival; minus infinity before the first."""
+        """The time of the last arrival; minus infinity before the first one."""
         return self._last_ms[-1] if self._last_ms else -math.inf
 
     def decay(self, now_ms: float) -> float:
-        """The factor by which a count has decayed since the last arrival."""
+        """The factor by which the count has decayed since the last arrival."""
         return math.exp((self._last_ms[-1] - now_ms) / self._decay_ms) if self._last_ms else 1.0
 
     def rate(self, now_ms: float, since_ms: float, min_interval_ms: float) -> float:
-        """Arrivals a millisecond, observed since `since_ms`, averaged over `min_interval_ms` or more."""
+        """Arrivals per millisecond since `since_ms`, averaged over at least `min_interval_ms`."""
         interval_ms = min(self._decay_ms, now_ms - since_ms + min_interval_ms)
         rate = self._count * self.decay(now_ms) / interval_ms
         if len(self._last_ms) == self._last_ms.maxlen:
@@ -141,6 +141,6 @@
         return rate
 
     def add(self, now_ms: float) -> None:
-        """Add an arrival, not before the last one."""
+        """Add an arrival, which must not be earlier than the last one."""
         self._count = self._count * self.decay(now_ms) + 1
         self._last_ms.append(now_ms)
