--- a/tests/decisions/test_circuit_breakers.py
+++ b/tests/decisions/test_circuit_breakers.py
@@ -10,7 +10,7 @@
 
 
 @dataclass
-class LostAnswers:
+class DelayedAnswers:
     """Requests whose answers don't come, from a worker that replies to everything else."""
 
     harness: DecisionHarness
@@ -19,7 +19,7 @@
     actions: list[Action]  # while the answers were awaited
 
 
-def lose_answers(count):
+def delay_answers(count):
     harness = DecisionHarness()
     warm_worker = harness.warm_up(concurrency=count)
     actions = []
@@ -29,38 +29,38 @@
     assert [send.worker_id for send in sends] == [warm_worker] * count
 
     sent_ms = harness.now_ms
-    actions_meanwhile = []
+    actions_during_delay = []
     while harness.now_ms < sent_ms + 900:
         actions = harness.run_timer_until(harness.now_ms + 20)
-        actions_meanwhile += actions + harness.answer_probes(actions, {warm_worker: 1})
-    return LostAnswers(harness, warm_worker, sends, actions_meanwhile)
+        actions_during_delay += actions + harness.answer_probes(actions, {warm_worker: 1})
+    return DelayedAnswers(harness, warm_worker, sends, actions_during_delay)
 
 
 @pytest.fixture
-def lost_answers():
-    return lose_answers(2)
+def delayed_answers():
+    return delay_answers(2)
 
 
-def test_lost_answers_open_the_breaker_of_their_class_alone(lost_answers):
-    harness = lost_answers.harness
-    worker = harness.worker(lost_answers.worker_id)
+def test_overdue_answers_open_the_breaker_of_their_class_only(delayed_answers):
+    harness = delayed_answers.harness
+    worker = harness.worker(delayed_answers.worker_id)
 
     actions = harness.answer_probes(harness.request("r3", concurrency=2), {worker.id: 1})
 
     assert not [
-        message for message in actions_of(lost_answers.actions, LogMessage) if "silent" in message.text
+        message for message in actions_of(delayed_answers.actions, LogMessage) if "silent" in message.text
     ]
     assert worker.id not in [send.worker_id for send in actions_of(actions, SendRequest)]
     assert not harness.fleet.health.is_usable(worker, "idempotent", harness.now_ms)
     assert harness.fleet.health.is_usable(worker, "at-most-once", harness.now_ms)
 
 
-def test_open_breaker_lets_one_trial_request_through(lost_answers):
-    harness = lost_answers.harness
-    worker = harness.worker(lost_answers.worker_id)
+def test_open_breaker_lets_one_trial_request_through(delayed_answers):
+    harness = delayed_answers.harness
+    worker = harness.worker(delayed_answers.worker_id)
     function = harness.function("f")
     harness.answer_probes(harness.request("r3", concurrency=2), {worker.id: 1})
-    for send in lost_answers.sends:
+    for send in delayed_answers.sends:
         harness.end_attempt(send, Outcome.CANCELLED, is_answered=True)
     harness.now_ms += 2000
 
@@ -74,14 +74,14 @@
 
 @pytest.mark.parametrize("count", [2, 3])
 def test_late_answers_close_the_breaker(count):
-    lost_answers = lose_answers(count)
-    harness = lost_answers.harness
-    assert harness.worker(lost_answers.worker_id).breakers
+    delayed_answers = delay_answers(count)
+    harness = delayed_answers.harness
+    assert harness.worker(delayed_answers.worker_id).breakers
 
-    for send in lost_answers.sends:
+    for send in delayed_answers.sends:
         harness.end_attempt(send)
 
-    assert not harness.worker(lost_answers.worker_id).breakers
+    assert not harness.worker(delayed_answers.worker_id).breakers
 
 
 @pytest.mark.parametrize("was_served", [True, False])
--- a/tests/decisions/test_layers.py
+++ b/tests/decisions/test_layers.py
@@ -16,7 +16,7 @@
 TABLE = [name for row in ROWS for name in row.split(", ")]
 
 
-def imported_parts(name):
+def imported_components(name):
     """The modules of the decisions that a module of them imports, at the top or elsewhere."""
     modules = imported_modules(FOLDER / f"{name}.py")
     return {module.removeprefix(PREFIX + ".") for module in modules if module.startswith(PREFIX)}
@@ -29,12 +29,12 @@
 
 
 @pytest.mark.parametrize("name", TABLE)
-def test_part_imports_only_parts_that_come_after_it_in_the_table(name):
+def test_component_imports_only_components_after_it_in_the_table(name):
     allowed = {*TABLE[TABLE.index(name) + 1 :], *SHARED}
 
-    assert imported_parts(name) <= allowed
+    assert imported_components(name) <= allowed
 
 
 @pytest.mark.parametrize("name", SHARED)
-def test_shared_declarations_import_no_part(name):
-    assert imported_parts(name) <= set(SHARED)
+def test_shared_declarations_import_no_component(name):
+    assert imported_components(name) <= set(SHARED)
