--- a/function_router/decisions/endpoint_leases.py
+++ b/function_router/decisions/endpoint_leases.py
@@ -64,7 +64,7 @@
 
     VALID = auto()  # the lease on the list or that of the worker is valid
     PENDING = auto()  # neither lease is valid, but a health check of the worker is pending
-    MISSING = auto()
+    MISSING = auto()  # neither lease is valid, and no health check is pending
 
 
 class EndpointLeases:
@@ -122,7 +122,7 @@
                 del self._checked[worker.id]
 
     def record_interrupted(self, now_ms: float) -> None:
-        """Let the lease on the list expire, as there is no connection to the log."""
+        """Let the lease on the list expire, unless it is expiring already. The log is not connected."""
         self._interrupted_ms = min(self._interrupted_ms, now_ms)
         self._followed_since_ms = min(self._followed_since_ms, now_ms)
 
--- a/tests/decisions/conftest.py
+++ b/tests/decisions/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of leases."""
+"""Fixtures for the tests of leases."""
 
 import pytest
 from helpers.lease_harness import LeaseHarness
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def checking(harness):
-    """The same router when the list has expired and its warm worker has just been asked for a request."""
+    """The router after its list has expired, while the health check of its warm worker is pending."""
     harness.let_list_expire()
     harness.request("r1")
     return harness
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: deadlines, requests that are given up, tenant quotas, and the limit of attempts in flight."""
+"""Tests of admission: deadlines, requests that are given up, quotas, and the limit on attempts in flight."""
 
 from helpers.decision_harness import DecisionHarness, actions_of, one_of_many_routers
 
@@ -53,7 +53,7 @@
 
 def test_request_with_little_time_is_rejected_before_the_next_timer():
     harness = DecisionHarness(workers=0)
-    harness.request("r1", timeout_ms=2500.0)  # its arrival sets the timer
+    harness.request("r1", timeout_ms=2500.0)  # sets the timer
     harness.now_ms += 1
 
     actions = harness.request("r2", timeout_ms=25.0)
@@ -64,7 +64,7 @@
 def test_request_that_will_miss_its_objective_after_a_failed_attempt_is_rejected_before_its_deadline():
     harness = one_of_many_routers(40)
     [send] = harness.complete_starts(harness.request("r", timeout_ms=2500.0))
-    for worker in harness.fleet.workers.ready:  # no other worker can take it
+    for worker in harness.fleet.workers.ready:  # no other worker can take the request
         worker.max_in_flight = 0.0
 
     harness.end_attempt(send, Outcome.ERROR, is_answered=False)
@@ -96,7 +96,7 @@
     harness.warm_up()
     [send] = actions_of(harness.request("r1", tenant="small"), SendRequest)
     harness.request("b1", tenant="big")
-    harness.request("b2", tenant="big")  # over the quota
+    harness.request("b2", tenant="big")  # exceeds the quota
     harness.request("s1", tenant="small")
 
     served = []
--- a/tests/decisions/test_capacity.py
+++ b/tests/decisions/test_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: limits of requests in flight, at each worker and in total."""
+"""Tests of capacity: limits on requests in flight, at each worker and in total."""
 
 from helpers.decision_harness import DecisionHarness, one_of_many_routers
 
--- a/tests/decisions/test_circuit_breakers.py
+++ b/tests/decisions/test_circuit_breakers.py
@@ -1,4 +1,4 @@
-"""Circuit breakers: which failures open them, and what passes while they are open."""
+"""Tests of circuit breakers: which failures open them, and which requests pass while they are open."""
 
 from dataclasses import dataclass
 
@@ -11,12 +11,12 @@
 
 @dataclass
 class DelayedAnswers:
-    """Requests whose answers don't come, from a worker that replies to everything else."""
+    """Requests whose answers are delayed, at a worker that replies to everything else."""
 
     harness: DecisionHarness
     worker_id: int
     sends: list[SendRequest]
-    actions: list[Action]  # while the answers were awaited
+    actions: list[Action]  # actions during the wait for the answers
 
 
 def delay_answers(count):
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: which of the workers with free slots a request is sent to."""
+"""Tests of dispatch: which of the workers with free slots gets a request."""
 
 import pytest
 from helpers.decision_harness import DecisionHarness, actions_of, start_orders
@@ -43,9 +43,9 @@
     [send] = actions_of(harness.request("one", concurrency=1), SendRequest)
     assert send.worker_id == warm_worker
 
-    # an instance that runs one request at a time is taken
+    # An instance that runs one request at a time has no free slot.
     assert not actions_of(harness.request("two", concurrency=1), SendRequest)
 
-    # one that runs four is not
+    # An instance that runs four requests at a time has a free slot.
     sends = actions_of(harness.request("three", concurrency=4), SendRequest)
     assert [send.worker_id for send in sends] == [warm_worker]
--- a/tests/decisions/test_endpoint_leases.py
+++ b/tests/decisions/test_endpoint_leases.py
@@ -1,4 +1,4 @@
-"""Tests of `endpoint_leases`: what may be sent while the endpoint list can't be confirmed."""
+"""Tests of `endpoint_leases`: what may be sent while the lease on the endpoint list is not renewed."""
 
 import math
 
--- a/tests/decisions/test_endpoint_leases_recovery.py
+++ b/tests/decisions/test_endpoint_leases_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of `endpoint_leases`: restarts of workers, the end of an outage, and the run-time check."""
+"""Tests of `endpoint_leases`: restarts of workers, the end of a log outage, and the run-time check."""
 
 import math
 
@@ -58,7 +58,7 @@
     assert checking.router.latest_connection_ms(checking.warm_id, checking.now_ms) == checked_at_ms
 
 
-# --- the end of the outage
+# --- the end of a log outage
 
 
 def test_list_that_is_current_again_discards_assumed_starts(checking):
--- a/tests/decisions/test_event_cost.py
+++ b/tests/decisions/test_event_cost.py
@@ -1,4 +1,4 @@
-"""The cost of an event: it must not grow with the number of workers."""
+"""Test that the cost of an event does not grow with the number of workers."""
 
 import sys
 
@@ -14,7 +14,7 @@
 
 
 def count_calls_while_serving(workers):
-    """Function calls that a router takes to serve and to fire its timer, once it knows its workers."""
+    """Count the function calls of a router that serves requests and timers, after it knows its workers."""
     harness = DecisionHarness(
         workers=workers,
         tenant=MANY_ROUTERS_TENANT,
@@ -28,7 +28,7 @@
         call_count += event in ("call", "c_call")
 
     serve_one_request(harness, "r0")
-    # the sums over all workers are taken once a second, and not at each event
+    # The sums over all workers are computed once a second and not at each event, so they are left out.
     harness.fleet.capacity.refreshed_ms = harness.now_ms + 1e9
     sys.setprofile(count_call)
     try:
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet: functions and workers that are forgotten."""
+"""Tests of the fleet: eviction of functions and workers."""
 
 from helpers.decision_harness import DecisionHarness, actions_of
 
@@ -22,7 +22,7 @@
 
     assert len(harness.fleet.functions.by_name) <= MAX_FUNCTIONS
     assert harness.fleet.functions.by_name.keys() >= {"in-flight", "queued"}
-    harness.end_attempt(send)  # finds its function
+    harness.end_attempt(send)  # must not fail, as the function of the attempt is kept
 
 
 def run_timer_every_second(harness, seconds):
@@ -40,7 +40,7 @@
 
     run_timer_every_second(harness, 100)
     assert harness.router.requests.attempts
-    assert warm_worker in harness.fleet.workers.by_id  # as long as an attempt is in flight there
+    assert warm_worker in harness.fleet.workers.by_id  # kept because an attempt is in flight there
 
     harness.end_attempt(send, Outcome.RESET)
     run_timer_every_second(harness, 100)
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,4 +1,4 @@
-"""Health: silent, unresponsive and slow workers."""
+"""Tests of health: silent, unresponsive and slow workers."""
 
 import pytest
 from helpers.decision_harness import DecisionHarness, actions_of, one_of_many_routers, probes, start_orders
@@ -82,11 +82,11 @@
     assert not probes(actions)
     assert harness.fleet.placement.has_headroom(worker, harness.now_ms)
 
-    actions = harness.run_timer_until(harness.now_ms + 200)  # silent for three runs
+    actions = harness.run_timer_until(harness.now_ms + 200)  # silent for more than three runs
     assert not probes(actions)
     assert not harness.fleet.placement.has_headroom(worker, harness.now_ms)
 
-    actions = harness.run_timer_until(harness.now_ms + 1000)  # for eight
+    actions = harness.run_timer_until(harness.now_ms + 1000)  # silent for more than eight runs
     assert probes(actions)
     assert not harness.fleet.placement.has_headroom(worker, harness.now_ms)
 
@@ -107,7 +107,7 @@
     [first_send] = harness.complete_starts(harness.request("first"))
     full_worker = first_send.worker_id
     harness.end_attempt(first_send)
-    harness.now_ms += 60_000.0  # requests are so rare that one worker is enough
+    harness.now_ms += 60_000.0  # makes requests so rare that one worker is enough
     [send] = harness.complete_starts(harness.request("full"))
     assert send.worker_id == full_worker
 
@@ -118,7 +118,7 @@
 
     harness.end_attempt(retries[0], attempt_number=1)
     harness.now_ms += 700.0
-    harness.worker(full_worker).sends.reset(harness.now_ms)  # not past its share of the sends
+    harness.worker(full_worker).sends.reset(harness.now_ms)  # within its share of the sends
     sends = harness.complete_starts(harness.request("next"))
     sends += harness.complete_starts(harness.run_timer_until(harness.now_ms + 200))
     assert sends
--- a/tests/decisions/test_instances.py
+++ b/tests/decisions/test_instances.py
@@ -1,4 +1,4 @@
-"""Instances: what a router believes about them, and when a belief expires."""
+"""Tests of instances: which ones a router presumes to exist, and for how long."""
 
 import pytest
 from helpers.decision_harness import DecisionHarness, actions_of
@@ -15,7 +15,7 @@
 
     orders = actions_of(harness.request("r1"), EnsureInstances)
 
-    assert len(orders) > 1  # several workers are probed, and not only the one that was warm
+    assert len(orders) > 1  # several workers are probed, not only the previously warm one
 
 
 def test_restarted_worker_is_presumed_to_have_no_instances():
@@ -34,7 +34,7 @@
     harness.now_ms += 100.0
     restarted_ms = harness.now_ms
     harness.now_ms += 100.0
-    # the notification is late: the router still believes in the instance of the process before
+    # The restart is announced late, so the router still counts the instance of the previous process.
     [send] = actions_of(harness.request("r"), SendRequest)
     harness.end_attempt(send, Outcome.RESET, is_answered=False)
 
@@ -63,7 +63,7 @@
     harness.report_instances(warm_worker, 3)
     harness.now_ms += 1.0
     [send] = actions_of(harness.request("r", concurrency=2), SendRequest)
-    if is_reported_later:  # more recent than the send
+    if is_reported_later:  # the report is more recent than the send
         harness.now_ms += 1.0
         harness.report_instances(warm_worker, 3)
 
--- a/tests/decisions/test_layers.py
+++ b/tests/decisions/test_layers.py
@@ -1,4 +1,4 @@
-"""The layers of the decisions, as the table in the package's docstring has them."""
+"""Tests that the decisions keep to the layers of the table in the package's docstring."""
 
 import re
 
@@ -9,15 +9,15 @@
 
 FOLDER = PACKAGE / "decisions"
 PREFIX = "function_router.decisions"
-SHARED = ["settings", "events", "actions", "types"]  # which every part may use
+SHARED = ["settings", "events", "actions", "types"]  # modules that every component may import
 
-# The table's first column: names at four spaces of indent, separated by commas.
+# The first column of the table. Its names are indented by four spaces and separated by commas.
 ROWS = re.findall(r"^ {4}(\w+(?:, \w+)*) {2,}\S", decisions.__doc__, re.MULTILINE)
 TABLE = [name for row in ROWS for name in row.split(", ")]
 
 
 def imported_components(name):
-    """The modules of the decisions that a module of them imports, at the top or elsewhere."""
+    """The modules of the decisions package that one of its modules imports, at top level or elsewhere."""
     modules = imported_modules(FOLDER / f"{name}.py")
     return {module.removeprefix(PREFIX + ".") for module in modules if module.startswith(PREFIX)}
 
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: the order of workers, and how the choices of many routers add up."""
+"""Tests of placement: the order of workers, and the combined choices of many routers."""
 
 from collections import Counter
 
@@ -23,7 +23,7 @@
     sends_by_worker = Counter()
 
     for turn in range(5):
-        sends_by_worker.clear()  # only those of the last turn count
+        sends_by_worker.clear()  # only the sends of the last turn count
         for harness in harnesses:
             harness.now_ms += 1000.0
             for send in harness.complete_starts(harness.request(f"r{turn}", concurrency=2)):
@@ -47,7 +47,7 @@
 
 
 def functions_with_the_same_first_worker(router):
-    """Names of functions that the router prefers to send to one worker, and that worker."""
+    """Names of functions with the same first worker in hash order, and that worker."""
     hash_order = router.fleet.placement.hash_order
     names = (f"f{number}" for number in range(400))
     functions = [Function(name, "idempotent", 2, None, hash64(name)) for name in names]
@@ -77,7 +77,7 @@
 
 def test_router_without_a_known_instance_probes_the_worker_with_headroom_that_all_routers_probe_first():
     harness = one_of_many_routers(40)
-    for turn in range(40):  # enough for a fan-out of more than one worker
+    for turn in range(40):  # enough requests for a fan-out of more than one worker
         harness.now_ms += 100.0
         for send in harness.complete_starts(harness.request(f"r{turn}", "hot", concurrency=2)):
             harness.end_attempt(send)
@@ -99,7 +99,7 @@
     harness = one_of_many_routers(40, keep_alive_ms=8_000.0)
     first_send = harness.complete_starts(harness.request("first", concurrency=2))[0]
     harness.end_attempt(first_send)
-    harness.now_ms += 20_000.0  # an idle instance lives for less, but other routers use it
+    harness.now_ms += 20_000.0  # longer than the keep-alive time, but other routers use the instance
 
     actions = harness.request("second", concurrency=2)
 
@@ -123,7 +123,7 @@
     placement = harness.fleet.placement
     worker = harness.worker(first_send.worker_id)
     worker.sends.reset(harness.now_ms, sends_to_worker)
-    placement.sends.reset(harness.now_ms, 60.0)  # a share of three
+    placement.sends.reset(harness.now_ms, 60.0)  # a fair share of three sends per worker
 
     has_headroom = placement.has_headroom(worker, harness.now_ms)
     actions = harness.request("next", concurrency=2)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries and hedges: which class of requests may be sent again, where to, and how long."""
+"""Tests of retries and hedges: which classes of requests are sent again, to which workers, and until when."""
 
 from collections import Counter
 
@@ -50,7 +50,7 @@
 
 
 def wait_with_responsive_workers(harness, until_ms):
-    """Let the time pass while all workers reply to everything but the request."""
+    """Advance the time while all workers reply to everything except the request."""
     while harness.now_ms < until_ms:
         harness.run_timer_until(min(until_ms, harness.now_ms + 40))
         report_one_instance_at_each_worker(harness)
@@ -93,7 +93,7 @@
 
 def test_keyed_request_is_failed_once_every_worker_in_its_scope_was_tried():
     harness, send = send_keyed_request()
-    harness.run_timer_until(2410)  # the workers are silent, and a retry goes to the other one of the zone
+    harness.run_timer_until(2410)  # the workers are silent, so a retry goes to the other worker of the zone
     report_one_instance_at_each_worker(harness)
     tried_workers = {entry.action.worker_id for entry in harness.logged(SendRequest)}
     assert tried_workers == {
@@ -118,7 +118,7 @@
 
 
 def sends_of_overdue_request(harness, class_name, timeout_ms):
-    """All sends of one request whose first worker loses the answer but goes on with all else."""
+    """All sends of a request whose first worker gives no answer to it but replies to everything else."""
     harness.request("r1", class_name=class_name, timeout_ms=timeout_ms)
     for worker_id in WORKERS:
         harness.report_instances(worker_id, 1)
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Retry policy: whether another attempt is allowed, and at which workers."""
+"""Tests of the retry policy: whether another attempt is allowed, and at which workers."""
 
 import pytest
 from helpers.decision_harness import IDEMPOTENCY_KEY, IDEMPOTENT
--- a/tests/decisions/test_scaling.py
+++ b/tests/decisions/test_scaling.py
@@ -1,4 +1,4 @@
-"""Scaling: probes, cold starts, and the race of a cold start with a busy instance."""
+"""Tests of scaling: probes, cold starts, and speculative cold starts while an instance is busy."""
 
 from helpers.decision_harness import DecisionHarness, actions_of, start_orders
 
@@ -56,7 +56,7 @@
     assert [order.instances for order in start_orders(actions)] == [1]
 
 
-# --- the race --------------------------------------------------------------------------------------
+# --- speculative cold starts -----------------------------------------------------------------------
 
 
 def test_race_is_won_by_the_busy_instance_that_becomes_free_first():
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the budget of sends to a worker that has just started."""
+"""Tests of slow start: the budget of sends to a worker that has just started."""
 
 from collections import Counter
 
@@ -51,12 +51,12 @@
 
     sent_ms = [entry.time_ms for entry in harness.logged(SendRequest)]
     most_in_a_window = max(sum(start <= time < start + 1000 for time in sent_ms) for start in sent_ms)
-    # about 90 requests a second arrive at the one worker; it can take 2 x (0.2 to 0.4) of that
+    # About 90 requests per second arrive. The single worker can take 2 x (0.2 to 0.4) of that.
     assert 1 <= most_in_a_window <= 60
 
 
 def serving_harness():
-    """A router that is alone and serves at half of the quota from warm instances."""
+    """A single router that serves requests at half of the quota from warm instances."""
     harness = DecisionHarness(
         workers=WORKERS,
         tenant=TENANT,
@@ -71,7 +71,7 @@
 
 
 def serve(harness, for_ms):
-    """Serve requests at half of the quota; the worker of each send."""
+    """Serve requests at half of the quota; returns the worker of each send."""
     sent_to = []
     end_ms = harness.now_ms + for_ms
     while harness.now_ms < end_ms:
@@ -94,7 +94,7 @@
 
     capacity_rps = QUOTA_RPS / WORKERS
     budget = OVERLOAD_MULTIPLE * SLOW_START_INITIAL * (WINDOW_MS / 1000) * capacity_rps
-    assert before.count(busiest) > budget  # spent before the notification
+    assert before.count(busiest) > budget  # the budget was used up before the start was announced
     assert after.count(busiest) == 0
 
 
@@ -111,7 +111,7 @@
     assert unserved == []
 
 
-# --- many routers, which keep within the budget together -------------------------------------------
+# --- many routers, whose sends together stay within the budget -------------------------------------
 
 
 SLOW_START = {
@@ -123,13 +123,13 @@
 
 
 def restart(workers, now_ms):
-    """The complete endpoint list: this many workers, all just started."""
+    """A complete endpoint list with this many workers, which have all just started."""
     endpoints = [Endpoint(worker_id, started_at_ms=now_ms) for worker_id in range(1, workers + 1)]
     return EndpointsChanged(endpoints, is_complete=True)
 
 
 def send_request(harness, request_id, function="f"):
-    """Let a request arrive, and complete all starts; returns its sends."""
+    """Let a request arrive and complete all starts; returns the sends of the request."""
     return harness.complete_starts(harness.request(request_id, function))
 
 
@@ -145,7 +145,10 @@
 
 
 def max_sends_in_the_window(requests_per_second):
-    """What a worker takes in one window by its end at this rate, with an allowance for sampling noise."""
+    """Sends that a worker can take in a window at this rate, with an allowance for sampling noise.
+
+    The capacity is that at the end of the first window of its slow start.
+    """
     capacity_part = 0.2 + 0.8 * 0.3
     allowed = 4.0 * capacity_part * 3.0 * requests_per_second / MANY_ROUTERS_WORKERS
     return allowed + 2 * allowed**0.5 + 2
@@ -164,13 +167,13 @@
             harness.now_ms += 100.0
             sent_to += [send.worker_id for send in send_request(harness, f"r{number}")]
 
-    # 100 routers with ten requests each in the second, over 20 workers
+    # 100 routers send ten requests each to 20 workers within one second.
     requests_per_worker = 100 * 10 / 20
     assert 0 < most_sends_to_a_worker(sent_to) <= 2.0 * 0.28 * requests_per_worker
 
 
 @pytest.mark.parametrize(
-    ("requests_per_second", "workers_left"),  # at each router, whose part of the quota is 1
+    ("requests_per_second", "workers_left"),  # the rate is that of each router, whose share of the quota is 1
     [
         pytest.param(6, 20, id="burst"),
         pytest.param(2, 5, id="most-workers-removed"),
@@ -203,7 +206,7 @@
         restarted_workers = restart(MANY_ROUTERS_WORKERS, harness.now_ms)
         harness.feed(restarted_workers)
         for number in range(9):
-            if number == 4 and index % 2:  # half of the routers lose what they know of their own sends
+            if number == 4 and index % 2:  # half of the routers restart and lose the record of their sends
                 harness.router = Router(harness.router.settings, index * 31 + 7)
                 harness.feed(restarted_workers)
             harness.now_ms += 3000.0 / 9
--- a/tests/decisions/test_speculation.py
+++ b/tests/decisions/test_speculation.py
@@ -1,4 +1,4 @@
-"""Speculation: when a function's switch is turned off and on again."""
+"""Tests of speculation: when it is disabled and enabled again for a function."""
 
 from helpers.decision_harness import DecisionHarness, actions_of, one_of_many_routers, start_orders
 from msgspec import structs
@@ -19,7 +19,7 @@
     harness.report_instances(order.worker_id, 1)
     harness.now_ms += 150  # the speculative instance idles for longer than the run of 100 ms
     worker = harness.worker(order.worker_id)
-    worker.endpoint = structs.replace(worker.endpoint, state=WorkerState.DRAINING)  # and can't be used
+    worker.endpoint = structs.replace(worker.endpoint, state=WorkerState.DRAINING)  # makes it unusable
 
     actions = harness.request("r3")
     queued_ms = harness.now_ms
@@ -28,7 +28,7 @@
     actions = harness.run_timer_until(queued_ms + 190)
     assert not start_orders(actions)  # a start takes 200 ms
 
-    harness.report_instances(warm_worker, 1)  # so that it is not unresponsive
+    harness.report_instances(warm_worker, 1)  # keeps the worker from becoming unresponsive
     actions = harness.run_timer_until(queued_ms + 260)
     assert start_orders(actions)
 
--- a/tests/decisions/test_start_order_limits.py
+++ b/tests/decisions/test_start_order_limits.py
@@ -1,4 +1,4 @@
-"""Limits on start orders: the rate limit by requests, and how many may be pending."""
+"""Tests of the limits on start orders: their rate per request, and the number of pending ones."""
 
 from helpers.decision_harness import DecisionHarness, actions_of, start_orders
 
@@ -61,13 +61,13 @@
     assert raised_limit > lowered_limit
 
 
-# --- orders that are sent later than they were decided ---------------------------------------------
+# --- start orders that are sent later than they were decided ---------------------------------------
 
 LATE_MS = MAX_START_ORDER_DELAY_MS + 1.0
 
 
 def limits_with_orders(*sent_ms):
-    """A rate limit of two start orders in any 5 s, and orders that count as of these times."""
+    """A rate limit of two start orders in any 5 s, with orders that were decided at the given times."""
     settings = Settings(start_order_window_ms=5000.0, start_order_burst=2.0)
     limits = StartOrderLimits(settings, Arrivals(settings))
     for time_ms in sent_ms:
--- a/tests/test_hashing.py
+++ b/tests/test_hashing.py
@@ -12,7 +12,7 @@
     [
         (0, 0),
         (1, 0x5692161D100B05E5),
-        (0x9E3779B97F4A7C15, 0xE220A8397B1DCDAF),  # splitmix64's first output for the seed 0
+        (0x9E3779B97F4A7C15, 0xE220A8397B1DCDAF),  # first output of splitmix64 for the seed 0
         (MAX_64_BITS, 0xB4D055FCF2CBBD7B),
     ],
 )
@@ -29,7 +29,7 @@
 
 
 def first_node(key, weights):
-    """The node that comes first for a key, of nodes with weights."""
+    """The node with the lowest rank for a key, from a dict of nodes and their weights."""
     return min(weights, key=lambda node: rendezvous_rank(key, node, weights[node]))
 
 
