--- a/tests/decisions/test_endpoint_leases.py
+++ b/tests/decisions/test_endpoint_leases.py
@@ -152,24 +152,24 @@
 
 def test_another_worker_is_checked_if_the_first_one_does_not_answer(harness):
     harness.let_list_expire()
-    asked = checked(harness.request("r1"))
+    checked_ids = checked(harness.request("r1"))
 
     harness.now_ms += CHECK_WAIT_MS
-    asked += checked(harness.run_timer_until(harness.now_ms + 20))
+    checked_ids += checked(harness.run_timer_until(harness.now_ms + 20))
 
-    assert len(asked) == len(set(asked)) == 2
+    assert len(checked_ids) == len(set(checked_ids)) == 2
 
 
 def test_start_order_waits_for_a_lease(harness):
     harness.let_list_expire()
     actions = harness.answer_probes(harness.request("cold", function="g"))
     actions += harness.run_timer_until(harness.now_ms + 40)
-    [asked_id] = checked(harness.all_actions())
+    [checked_id] = checked(harness.all_actions())
 
-    ordered = start_orders(harness.answer_check(asked_id))
+    ordered = start_orders(harness.answer_check(checked_id))
 
     assert start_orders(actions) == []
-    assert [order.worker_id for order in ordered] == [asked_id]
+    assert [order.worker_id for order in ordered] == [checked_id]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
--- a/tests/decisions/test_scaling.py
+++ b/tests/decisions/test_scaling.py
@@ -59,21 +59,21 @@
 # --- speculative cold starts -----------------------------------------------------------------------
 
 
-def test_race_is_won_by_the_busy_instance_that_becomes_free_first():
+def test_queued_request_goes_to_the_busy_instance_if_it_is_free_first():
     harness = DecisionHarness()
     warm_worker = harness.warm_up()
     [first_send] = actions_of(harness.request("r1"), SendRequest)
-    race = actions_of(harness.request("r2"), EnsureInstances)
+    speculative_orders = actions_of(harness.request("r2"), EnsureInstances)
     harness.now_ms += 50
 
     sends = actions_of(harness.end_attempt(first_send), SendRequest)
 
     assert first_send.worker_id == warm_worker
-    assert [order.instances for order in race] == [1]
+    assert [order.instances for order in speculative_orders] == [1]
     assert [send.request_id for send in sends] == ["r2"]
 
 
-def test_race_is_won_by_the_cold_start_that_completes_first():
+def test_queued_request_goes_to_the_cold_start_if_it_completes_first():
     harness = DecisionHarness()
     warm_worker = harness.warm_up()
     harness.request("r1")
