--- a/function_router/decisions/admission.py
+++ b/function_router/decisions/admission.py
@@ -76,7 +76,7 @@
         return request.deadline_ms - now_ms <= TIMER_INTERVAL_MS + ANSWER_LEAD_MS
 
     def is_due_on_timer(self, request: Request, now_ms: float) -> bool:
-        """Whether the router answers a request itself now, given up or because the next timer is too late.
+        """Whether the router answers a request itself now: it is given up, or the next timer is too late.
 
         Unlike `is_due_on_arrival`, this compares sums and not differences, because deadlines often fall
         exactly on this time, and sums and differences round differently.
--- a/function_router/decisions/dispatch.py
+++ b/function_router/decisions/dispatch.py
@@ -76,7 +76,7 @@
             self.dispatch(function, now_ms)
 
     def send_at_once(self, request: Request, now_ms: float) -> None:
-        """Send another attempt if a slot is free now. Otherwise don't queue it or start an instance."""
+        """Send another attempt if a slot is free now; otherwise neither queue it nor start an instance."""
         queue = request.function.queue
         queue.append(request)
         self._serve_queue(request.function, now_ms)
--- a/function_router/decisions/durations.py
+++ b/function_router/decisions/durations.py
@@ -19,7 +19,7 @@
     """Medians of run and start times: CIDRE's Te and Tp."""
 
     def __init__(self, latency_objective_ms: float) -> None:
-        self.run_times = new_median()  # of all functions
+        self.run_times = new_median()  # run times of all functions
         # Moving average of run times at unloaded workers. It is a guess until the first run.
         self.unloaded_run_ms = latency_objective_ms / OBJECTIVE_IN_RUNS
 
--- a/function_router/decisions/endpoint_leases.py
+++ b/function_router/decisions/endpoint_leases.py
@@ -122,7 +122,7 @@
                 del self._checked[worker.id]
 
     def record_interrupted(self, now_ms: float) -> None:
-        """Let the lease on the list expire, unless it is expiring already. The log is not connected."""
+        """Let the lease on the list expire, as the log is not connected. It may be expiring already."""
         self._interrupted_ms = min(self._interrupted_ms, now_ms)
         self._followed_since_ms = min(self._followed_since_ms, now_ms)
 
--- a/function_router/decisions/settings.py
+++ b/function_router/decisions/settings.py
@@ -28,7 +28,7 @@
     """Limits, protocol features and request classes of the deployment."""
 
     classes: dict[str, RequestClass] = {}
-    tenant_quotas_rps: dict[str, float] = {}  # for all routers together
+    tenant_quotas_rps: dict[str, float] = {}  # quotas for all routers together, by tenant
     router_count: int = 1
     zone: str = ""  # zone of this router
     tick_ms: float = 1.0  # minimum interval between two batches of events
@@ -47,7 +47,7 @@
     slow_start_ms: float = 10000.0  # maximum time from a worker's start until it has its full capacity
     slow_start_initial: float = 0.2  # minimum fraction of its capacity that a worker has at its start
     overload_window_ms: float = 1000.0  # window in which the sends to a worker in slow start are counted
-    overload_multiple: float = 2.0  # such a worker fails above this multiple of its capacity in the window
+    overload_multiple: float = 2.0  # multiple of its capacity above which a worker in slow start fails
 
     @property
     def quota_per_ms(self) -> float:
--- a/function_router/limits.py
+++ b/function_router/limits.py
@@ -46,7 +46,7 @@
 
 
 class CircuitBreaker:
-    """A circuit breaker that opens at a number of failures. A success reduces that number by a fraction.
+    """A circuit breaker that opens at a threshold of failures. A success reduces their count by a fraction.
 
     When its open time is over, the breaker is half-open: one request passes as a trial, and the breaker opens
     again at once for twice as long. It closes when successes have reduced the failures below the threshold.
