--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet: functions and workers that are forgotten."""
+"""Tests of the fleet: eviction of functions and workers."""
 
 from helpers.decision_harness import DecisionHarness, actions_of
 
@@ -8,7 +8,7 @@
 from function_router.decisions.types import Outcome, WorkerState
 
 
-def test_ever_new_functions_are_forgotten_but_not_those_in_use():
+def test_functions_beyond_the_maximum_are_evicted_except_those_in_use():
     harness = DecisionHarness()
     harness.warm_up("in-flight")
     [send] = actions_of(harness.request("r1", "in-flight"), SendRequest)
@@ -22,7 +22,7 @@
 
     assert len(harness.fleet.functions.by_name) <= MAX_FUNCTIONS
     assert harness.fleet.functions.by_name.keys() >= {"in-flight", "queued"}
-    harness.end_attempt(send)  # finds its function
+    harness.end_attempt(send)  # must not fail, as the function of the attempt is kept
 
 
 def run_timer_every_second(harness, seconds):
@@ -31,7 +31,7 @@
         harness.feed(TimerFired(0))
 
 
-def test_removed_workers_and_functions_without_requests_are_forgotten():
+def test_removed_workers_and_functions_without_requests_are_evicted():
     harness = DecisionHarness()
     harness.warm_up("g")
     warm_worker = harness.warm_up()
@@ -40,7 +40,7 @@
 
     run_timer_every_second(harness, 100)
     assert harness.router.requests.attempts
-    assert warm_worker in harness.fleet.workers.by_id  # as long as an attempt is in flight there
+    assert warm_worker in harness.fleet.workers.by_id  # kept because an attempt is in flight there
 
     harness.end_attempt(send, Outcome.RESET)
     run_timer_every_second(harness, 100)
--- a/tests/decisions/test_layers.py
+++ b/tests/decisions/test_layers.py
@@ -1,4 +1,4 @@
-"""The layers of the decisions, as the table in the package's docstring has them."""
+"""Tests that the decisions keep to the layers of the table in the package's docstring."""
 
 import re
 
@@ -9,15 +9,15 @@
 
 FOLDER = PACKAGE / "decisions"
 PREFIX = "function_router.decisions"
-SHARED = ["settings", "events", "actions", "types"]  # which every part may use
+SHARED = ["settings", "events", "actions", "types"]  # modules that every component may import
 
-# The table's first column: names at four spaces of indent, separated by commas.
+# The first column of the table. Its names are indented by four spaces and separated by commas.
 ROWS = re.findall(r"^ {4}(\w+(?:, \w+)*) {2,}\S", decisions.__doc__, re.MULTILINE)
 TABLE = [name for row in ROWS for name in row.split(", ")]
 
 
-def imported_parts(name):
-    """The modules of the decisions that a module of them imports, at the top or elsewhere."""
+def imported_components(name):
+    """The modules of the decisions package that one of its modules imports, at top level or elsewhere."""
     modules = imported_modules(FOLDER / f"{name}.py")
     return {module.removeprefix(PREFIX + ".") for module in modules if module.startswith(PREFIX)}
 
@@ -29,12 +29,12 @@
 
 
 @pytest.mark.parametrize("name", TABLE)
-def test_part_imports_only_parts_that_come_after_it_in_the_table(name):
+def test_component_imports_only_components_after_it_in_the_table(name):
     allowed = {*TABLE[TABLE.index(name) + 1 :], *SHARED}
 
-    assert imported_parts(name) <= allowed
+    assert imported_components(name) <= allowed
 
 
 @pytest.mark.parametrize("name", SHARED)
-def test_shared_declarations_import_no_part(name):
-    assert imported_parts(name) <= set(SHARED)
+def test_shared_declarations_import_no_component(name):
+    assert imported_components(name) <= set(SHARED)
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: the order of workers, and how the choices of many routers add up."""
+"""Tests of placement: the order of workers, and the combined choices of many routers."""
 
 from collections import Counter
 
@@ -6,7 +6,7 @@
 from helpers.decision_harness import DecisionHarness, actions_of, many_routers, one_of_many_routers
 
 from function_router.decisions.actions import EnsureInstances, SendRequest
-from function_router.decisions.placement import FAR_SEND_SHARE_FACTOR
+from function_router.decisions.placement import PROBE_SEND_SHARE_FACTOR
 from function_router.decisions.records import Function
 from function_router.hashing import hash64
 
@@ -23,7 +23,7 @@
     sends_by_worker = Counter()
 
     for turn in range(5):
-        sends_by_worker.clear()  # only those of the last turn count
+        sends_by_worker.clear()  # only the sends of the last turn count
         for harness in harnesses:
             harness.now_ms += 1000.0
             for send in harness.complete_starts(harness.request(f"r{turn}", concurrency=2)):
@@ -47,7 +47,7 @@
 
 
 def functions_with_the_same_first_worker(router):
-    """Names of functions that the router prefers to send to one worker, and that worker."""
+    """Names of functions with the same first worker in hash order, and that worker."""
     hash_order = router.fleet.placement.hash_order
     names = (f"f{number}" for number in range(400))
     functions = [Function(name, "idempotent", 2, None, hash64(name)) for name in names]
@@ -69,7 +69,7 @@
 
     assert len(functions) >= 5
     assert sum(sends_by_worker.values()) >= 60
-    assert sends_by_worker[first_worker.id] <= 60 / 20 * FAR_SEND_SHARE_FACTOR + 2
+    assert sends_by_worker[first_worker.id] <= 60 / 20 * PROBE_SEND_SHARE_FACTOR + 2
 
 
 # --- many routers: probes --------------------------------------------------------------------------
@@ -77,13 +77,13 @@
 
 def test_router_without_a_known_instance_probes_the_worker_with_headroom_that_all_routers_probe_first():
     harness = one_of_many_routers(40)
-    for turn in range(40):  # enough for a fan-out of more than one worker
+    for turn in range(40):  # enough requests for a fan-out of more than one worker
         harness.now_ms += 100.0
         for send in harness.complete_starts(harness.request(f"r{turn}", "hot", concurrency=2)):
             harness.end_attempt(send)
     function = harness.function("hot")
     function.pools.clear()
-    function.known_workers = None
+    function.workers_with_pool = None
     placement = harness.fleet.placement
     first_worker = next(
         worker for worker in placement.hash_order(function) if placement.has_headroom(worker, harness.now_ms)
@@ -95,11 +95,11 @@
     assert [order.worker_id for order in orders] == [first_worker.id]
 
 
-def test_worker_with_headroom_that_is_believed_warm_is_not_probed_as_other_routers_renew_its_instance():
+def test_worker_with_headroom_that_is_presumed_warm_is_not_probed_as_other_routers_renew_its_instance():
     harness = one_of_many_routers(40, keep_alive_ms=8_000.0)
     first_send = harness.complete_starts(harness.request("first", concurrency=2))[0]
     harness.end_attempt(first_send)
-    harness.now_ms += 20_000.0  # an idle instance lives for less, but other routers use it
+    harness.now_ms += 20_000.0  # longer than the keep-alive time, but other routers use the instance
 
     actions = harness.request("second", concurrency=2)
 
@@ -123,7 +123,7 @@
     placement = harness.fleet.placement
     worker = harness.worker(first_send.worker_id)
     worker.sends.reset(harness.now_ms, sends_to_worker)
-    placement.sends.reset(harness.now_ms, 60.0)  # a share of three
+    placement.sends.reset(harness.now_ms, 60.0)  # a fair share of three sends per worker
 
     has_headroom = placement.has_headroom(worker, harness.now_ms)
     actions = harness.request("next", concurrency=2)
--- a/tests/decisions/test_scaling.py
+++ b/tests/decisions/test_scaling.py
@@ -1,4 +1,4 @@
-"""Scaling: probes, cold starts, and the race of a cold start with a busy instance."""
+"""Tests of scaling: probes, cold starts, and speculative cold starts while an instance is busy."""
 
 from helpers.decision_harness import DecisionHarness, actions_of, start_orders
 
@@ -43,7 +43,7 @@
     assert [order.instances for order in actions_of(actions, EnsureInstances)] == [1]
 
 
-def test_not_loaded_answer_discards_the_believed_instance_and_orders_a_start():
+def test_not_loaded_answer_resets_the_instance_count_and_orders_a_start():
     harness = DecisionHarness()
     warm_worker = harness.warm_up()
     [send] = actions_of(harness.request("r1"), SendRequest)
@@ -56,24 +56,24 @@
     assert [order.instances for order in start_orders(actions)] == [1]
 
 
-# --- the race --------------------------------------------------------------------------------------
+# --- speculative cold starts -----------------------------------------------------------------------
 
 
-def test_race_is_won_by_the_busy_instance_that_becomes_free_first():
+def test_queued_request_goes_to_the_busy_instance_if_it_is_free_first():
     harness = DecisionHarness()
     warm_worker = harness.warm_up()
     [first_send] = actions_of(harness.request("r1"), SendRequest)
-    race = actions_of(harness.request("r2"), EnsureInstances)
+    speculative_orders = actions_of(harness.request("r2"), EnsureInstances)
     harness.now_ms += 50
 
     sends = actions_of(harness.end_attempt(first_send), SendRequest)
 
     assert first_send.worker_id == warm_worker
-    assert [order.instances for order in race] == [1]
+    assert [order.instances for order in speculative_orders] == [1]
     assert [send.request_id for send in sends] == ["r2"]
 
 
-def test_race_is_won_by_the_cold_start_that_completes_first():
+def test_queued_request_goes_to_the_cold_start_if_it_completes_first():
     harness = DecisionHarness()
     warm_worker = harness.warm_up()
     harness.request("r1")
