--- a/function_router/net/client_connection.py
+++ b/function_router/net/client_connection.py
@@ -107,7 +107,7 @@
         pending_count = len(self.session.pending)
         if pending_count and reason not in CLOSED_BY_CLIENT:
             detail = f"{reason.name} with {pending_count} requests pending"
-            self._owner.telemetry.invariants.record(Invariant.CLOSED_WITH_ANSWERS, detail)
+            self._owner.telemetry.invariants.record(Invariant.ANSWERED_BEFORE_CLOSE, detail)
         self.session.cancel_pending()
         self._owner.on_client_closed(self, reason)
 
--- a/function_router/net/close_reason.py
+++ b/function_router/net/close_reason.py
@@ -44,33 +44,33 @@
     if_not_started: Outcome
 
 
-_CLOSED_HERE = ReportedOutcomes(if_started=Outcome.RESET, if_not_started=Outcome.NOT_SENT)
+_CLOSED_LOCALLY = ReportedOutcomes(if_started=Outcome.RESET, if_not_started=Outcome.NOT_SENT)
 _FAILED_AT_PEER = ReportedOutcomes(if_started=Outcome.RESET, if_not_started=Outcome.CONNECT_FAILED)
 
 OUTCOMES: dict[CloseReason, ReportedOutcomes] = {
     CloseReason.CONNECTION_REFUSED: _FAILED_AT_PEER,
     CloseReason.UNREACHABLE: _FAILED_AT_PEER,
     CloseReason.CONNECT_TIMEOUT: _FAILED_AT_PEER,
-    CloseReason.NO_FILE_DESCRIPTOR: _CLOSED_HERE,
-    CloseReason.CONNECTION_LIMIT: _CLOSED_HERE,
-    CloseReason.LOCAL_FAILURE: _CLOSED_HERE,
+    CloseReason.NO_FILE_DESCRIPTOR: _CLOSED_LOCALLY,
+    CloseReason.CONNECTION_LIMIT: _CLOSED_LOCALLY,
+    CloseReason.LOCAL_FAILURE: _CLOSED_LOCALLY,
     CloseReason.CLOSED_BY_PEER: _FAILED_AT_PEER,
     CloseReason.RESET_BY_PEER: _FAILED_AT_PEER,
     CloseReason.PROTOCOL_ERROR: _FAILED_AT_PEER,
     CloseReason.WRITE_BUFFER_FULL: _FAILED_AT_PEER,
     CloseReason.READ_TIMEOUT: _FAILED_AT_PEER,
-    CloseReason.IDLE: _CLOSED_HERE,
-    CloseReason.ENDPOINT_REPLACED: _CLOSED_HERE,
-    CloseReason.DRAINING: _CLOSED_HERE,
-    CloseReason.NOT_SENT: _CLOSED_HERE,
+    CloseReason.IDLE: _CLOSED_LOCALLY,
+    CloseReason.ENDPOINT_REPLACED: _CLOSED_LOCALLY,
+    CloseReason.DRAINING: _CLOSED_LOCALLY,
+    CloseReason.NOT_SENT: _CLOSED_LOCALLY,
     CloseReason.CANCELLED: ReportedOutcomes(if_started=Outcome.CANCELLED, if_not_started=Outcome.CANCELLED),
     CloseReason.DEADLINE_EXCEEDED: ReportedOutcomes(
         if_started=Outcome.TIMEOUT, if_not_started=Outcome.NOT_SENT
     ),
-    CloseReason.SHUTDOWN: _CLOSED_HERE,
+    CloseReason.SHUTDOWN: _CLOSED_LOCALLY,
 }
 
-_NO_DESCRIPTORS = frozenset({errno.EMFILE, errno.ENFILE})
+_DESCRIPTOR_LIMIT_ERRORS = frozenset({errno.EMFILE, errno.ENFILE})
 # Errors with which connect(2) and epoll_ctl(2) fail at once: memory, ports, routes and firewall rules of this
 # machine.
 _LOCAL_ERRORS = TRANSIENT_ERRORS | {
@@ -83,7 +83,7 @@
     errno.EPERM,
 }
 # Errors by which an established connection turns out to be broken.
-_CONNECTION_BROKEN = frozenset(
+_BROKEN_CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
         errno.ECONNRESET,
@@ -96,7 +96,7 @@
 
 
 # With these, a connection ended without this router's doing: the peer's process or machine may have gone.
-_LOST = frozenset(
+_CONNECTION_LOSSES = frozenset(
     {
         CloseReason.CONNECTION_REFUSED,
         CloseReason.UNREACHABLE,
@@ -108,9 +108,9 @@
 )
 
 
-def is_lost(reason: CloseReason) -> bool:
+def is_connection_loss(reason: CloseReason) -> bool:
     """Whether a connection ended without this router's doing."""
-    return reason in _LOST
+    return reason in _CONNECTION_LOSSES
 
 
 def outcome_of(reason: CloseReason, *, is_started: bool) -> Outcome:
@@ -126,7 +126,7 @@
 
 def reason_of_local_error(error: OSError) -> CloseReason:
     """The close reason of a connection for which a system call on this machine failed at once."""
-    if error.errno in _NO_DESCRIPTORS:
+    if error.errno in _DESCRIPTOR_LIMIT_ERRORS:
         return CloseReason.NO_FILE_DESCRIPTOR
     if error.errno in _LOCAL_ERRORS:
         return CloseReason.LOCAL_FAILURE
@@ -144,6 +144,6 @@
 
 def reason_of_broken_connection(error: OSError) -> CloseReason:
     """The close reason of an established connection on which a read or a write failed."""
-    if error.errno in _CONNECTION_BROKEN:
+    if error.errno in _BROKEN_CONNECTION_ERRORS:
         return CloseReason.RESET_BY_PEER
     return CloseReason.LOCAL_FAILURE
--- a/function_router/net/connect_retry.py
+++ b/function_router/net/connect_retry.py
@@ -11,7 +11,7 @@
 # After this time the queued exchanges are reported as not sent: the decisions may send them elsewhere.
 MAX_RETRY_MS = 200.0
 
-_FAILED_ON_THIS_MACHINE = (
+_LOCAL_FAILURES = (
     CloseReason.LOCAL_FAILURE,
     CloseReason.NO_FILE_DESCRIPTOR,
     CloseReason.CONNECTION_LIMIT,
@@ -45,7 +45,7 @@
             False if there will be no retry: the cause isn't on this machine, or connects have failed for too
             long.
         """
-        if reason not in _FAILED_ON_THIS_MACHINE:
+        if reason not in _LOCAL_FAILURES:
             return False
         now_ms = monotonic_ms()
         if self._failing_since_ms is None:
--- a/function_router/net/connection_activity.py
+++ b/function_router/net/connection_activity.py
@@ -19,19 +19,19 @@
         idle_before_use_ms: For how long it had been idle when it was last used again.
     """
 
-    __slots__ = ("_connection", "_in_use_since_ms", "_last_removed_ms", "idle_before_use_ms")
+    __slots__ = ("_active_since_ms", "_connection", "_last_removed_ms", "idle_before_use_ms")
 
     def __init__(self, connection: Connection) -> None:
         """Observe a TCP connection that was not used yet."""
         self.idle_before_use_ms = 0.0
         self._connection = connection
-        self._in_use_since_ms = 0.0
+        self._active_since_ms = 0.0
         self._last_removed_ms = 0.0  # when an exchange that the worker may have received was last removed
 
-    def on_in_use(self) -> None:
+    def on_active(self) -> None:
         """It goes from idle to in use."""
         self.idle_before_use_ms = self.idle_ms()
-        self._in_use_since_ms = monotonic_ms()
+        self._active_since_ms = monotonic_ms()
 
     def on_exchange_removed(self) -> None:
         """An exchange that the worker may have received was removed without an answer."""
@@ -49,9 +49,9 @@
         """Whether it had been silent for too long when an exchange was last removed, and is silent still."""
         return self._last_removed_ms - self._silent_since_ms() > UNRESPONSIVE_AFTER_MS
 
-    def is_just_in_use(self) -> bool:
+    def is_newly_active(self) -> bool:
         """Whether it went from idle to in use so recently that a close now shows that it was stale."""
-        return monotonic_ms() - self._in_use_since_ms < STALE_RESET_MS
+        return monotonic_ms() - self._active_since_ms < STALE_RESET_MS
 
     def _silent_since_ms(self) -> float:
-        return max(self._connection.last_received_ms, self._in_use_since_ms)
+        return max(self._connection.last_received_ms, self._active_since_ms)
--- a/function_router/net/connection_budget.py
+++ b/function_router/net/connection_budget.py
@@ -37,7 +37,7 @@
         """Whether one more connection may be opened that nothing needs yet."""
         return self.connection_count < SPARE_CONNECTION_SHARE * self._max_connections
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Make sure that one more connection may be opened; False if that is impossible.
 
         Where the budget is used up, the connection that has been idle for longest is closed. With more
--- a/function_router/net/connection_set.py
+++ b/function_router/net/connection_set.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 
 from function_router.net.clock import monotonic_ms
-from function_router.net.close_reason import CloseReason, is_lost
+from function_router.net.close_reason import CloseReason, is_connection_loss
 from function_router.net.pool_resources import PoolResources
 from function_router.net.telemetry import CLOSED, CONNECTS
 from function_router.net.worker_connection import ConnectError, WorkerConnection, WorkerConnectionOwner
@@ -53,20 +53,20 @@
         be written to it would be lost, but as it might have run, a request that must not run twice could not
         be sent again.
         """
-        while (chosen := self._best(exchange, latest_connection_ms)) is not None:
+        while (chosen := self._best_connection(exchange, latest_connection_ms)) is not None:
             if chosen.exchanges or not chosen.has_reached_end_of_stream():
                 return chosen
             chosen.close(CloseReason.CLOSED_BY_PEER)
         return None
 
-    def _best(self, exchange: Exchange, latest_connection_ms: float) -> WorkerConnection | None:
+    def _best_connection(self, exchange: Exchange, latest_connection_ms: float) -> WorkerConnection | None:
         """The usable connection with the fewest exchanges, if possible a responsive one.
 
         For a health check it is the oldest one, as that shows best whether the process is still the same.
         """
         candidates = [
             connection
-            for connection in self._usable(exchange.exchange_id)
+            for connection in self._usable_connections(exchange.exchange_id)
             if connection.established_at_ms <= latest_connection_ms
         ]
         if isinstance(exchange, HealthCheck):
@@ -79,7 +79,7 @@
             default=None,
         )
 
-    def _usable(self, exchange_id: bytes) -> list[WorkerConnection]:
+    def _usable_connections(self, exchange_id: bytes) -> list[WorkerConnection]:
         """The connections that may carry an exchange with this id, if possible responsive ones."""
         max_idle_ms = self._resources.idle_limit.limit_ms
         usable = [
@@ -89,7 +89,7 @@
         ]
         usable = [connection for connection in usable if connection.idle_ms() <= max_idle_ms]
         candidates = [connection for connection in usable if not connection.is_unresponsive()]
-        if not candidates and len(self._current()) >= MAX_CONNECTIONS:
+        if not candidates and len(self._current_connections()) >= MAX_CONNECTIONS:
             return usable
         return candidates
 
@@ -104,26 +104,29 @@
         Raises:
             ConnectError: The limits allow no other connection, or connecting failed at once.
         """
-        if len(self._current()) >= MAX_CONNECTIONS or not self._resources.budget.make_room():
+        if (
+            len(self._current_connections()) >= MAX_CONNECTIONS
+            or not self._resources.budget.ensure_capacity()
+        ):
             raise ConnectError(owner, CloseReason.CONNECTION_LIMIT)
         self._open_unchecked(owner)
 
     def open_spare_if_needed(self, owner: WorkerConnectionOwner) -> None:
         """Open a connection for the next exchange if that would have to share one, as far as limits allow."""
-        if self._is_each_in_use() and self._resources.budget.allows_spare_connection():
+        if self._needs_spare_connection() and self._resources.budget.allows_spare_connection():
             with contextlib.suppress(ConnectError):  # nothing needs it yet
                 self._open_unchecked(owner)
 
     def connecting_count(self) -> int:
         """How many connections to the present process of the worker are not established yet."""
-        return sum(not connection.is_connected for connection in self._current())
+        return sum(not connection.is_connected for connection in self._current_connections())
 
-    def _is_each_in_use(self) -> bool:
+    def _needs_spare_connection(self) -> bool:
         """Whether all connections are established and in use, and few enough for another one.
 
         A health check doesn't count: it is over at once, and must not cause a connection.
         """
-        current = self._current()
+        current = self._current_connections()
         return len(current) < CONNECTIONS_BEFORE_SHARING and all(
             connection.is_connected and _is_in_use(connection) for connection in current
         )
@@ -137,7 +140,7 @@
         resources.budget.on_opened()
         resources.telemetry.count(CONNECTS)
 
-    def _current(self) -> list[WorkerConnection]:
+    def _current_connections(self) -> list[WorkerConnection]:
         """The connections to the present process of the worker."""
         return [connection for connection in self._connections if not connection.is_retired]
 
@@ -154,7 +157,7 @@
         self._connections.remove(connection)
         resources.budget.on_closed()
         resources.telemetry.count(CLOSED, reason.name)
-        if is_lost(reason) and not connection.is_retired:
+        if is_connection_loss(reason) and not connection.is_retired:
             self.last_lost_ms = monotonic_ms()
         idle_ms = connection.stale_idle_ms(reason)
         if idle_ms is not None:
--- a/function_router/net/endpoint_log_client.py
+++ b/function_router/net/endpoint_log_client.py
@@ -24,7 +24,7 @@
 # On top of it; a first line that comes later than both shows that what the log sends is late by as much.
 MAX_FIRST_LINE_DELAY_MS = 300.0
 # A log that is late is requested again after this time: it may have caught up.
-LATE_LOG_RETRY_MS = 5_000.0
+DELAYED_LOG_RETRY_MS = 5_000.0
 # The delay doubles up to this where a log answers but sends nothing valid.
 MAX_RECONNECT_DELAY_MS = 1_000.0
 CONNECT_TIMEOUT_MS = 1_000.0
@@ -72,7 +72,7 @@
         self._last_connect_ms = now_ms
         self._last_line_ms = now_ms  # when the last complete line came
         self._requested_ms: float | None = None  # when events were requested, until the first line comes
-        self._is_late = False  # whether that took too long
+        self._is_delayed = False  # whether that took too long
         self._partial_line = b""
 
     @property
@@ -81,9 +81,9 @@
         return monotonic_ms() - self._last_connect_ms > SILENCE_TIMEOUT_MS
 
     @property
-    def is_late(self) -> bool:
+    def is_delayed(self) -> bool:
         """Whether the log took so long for its first line that its heartbeats are no news."""
-        return self._is_late
+        return self._is_delayed
 
     # --- connecting -----------------------------------------------------------------------------
 
@@ -95,7 +95,7 @@
         self._last_connect_ms = now_ms
         self._last_line_ms = now_ms
         self._requested_ms = None
-        self._is_late = False
+        self._is_delayed = False
         self._on_interrupted()
         connection = Connection.connect(self._loop, self._address, self, CONNECT_TIMEOUT_MS)
         if isinstance(connection, CloseReason):
@@ -137,7 +137,7 @@
         last_progress_ms = connection.last_received_ms if is_in_line else self._last_line_ms
         if now_ms - last_progress_ms > SILENCE_TIMEOUT_MS:
             self.request_again("silent")
-        elif self._is_late and now_ms - self._last_connect_ms > LATE_LOG_RETRY_MS:
+        elif self._is_delayed and now_ms - self._last_connect_ms > DELAYED_LOG_RETRY_MS:
             self.request_again("late")
 
     def close(self) -> None:
@@ -187,7 +187,7 @@
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         connection = self._connection
         if lines:
-            self._note_first_line()
+            self._check_first_line_delay()
         for line in lines:
             self._last_line_ms = monotonic_ms()
             self._on_line(line)
@@ -196,10 +196,10 @@
         if len(self._partial_line) > MAX_LINE_BYTES and connection is not None:
             connection.close(CloseReason.PROTOCOL_ERROR)
 
-    def _note_first_line(self) -> None:
+    def _check_first_line_delay(self) -> None:
         """Note whether the first line after a request came in time."""
         if self._requested_ms is None:
             return
         delay_ms = monotonic_ms() - self._requested_ms
-        self._is_late = delay_ms > HEARTBEAT_INTERVAL_MS + MAX_FIRST_LINE_DELAY_MS
+        self._is_delayed = delay_ms > HEARTBEAT_INTERVAL_MS + MAX_FIRST_LINE_DELAY_MS
         self._requested_ms = None
--- a/function_router/net/endpoint_registry.py
+++ b/function_router/net/endpoint_registry.py
@@ -86,7 +86,7 @@
         self._on_changed = on_changed
         self._start_times = start_times
         self._log = log
-        self._has_list = False  # the first list is not logged
+        self._has_received_list = False  # the first list is not logged
         self._endpoints: dict[int, Endpoint] = {}  # by worker id, without the removed ones
 
     def apply(self, endpoint_list: EndpointList) -> None:
@@ -106,19 +106,21 @@
             for worker_id, endpoint in self._endpoints.items()
             if endpoint.state is not WorkerState.REMOVED
         }
-        is_live_update = self._has_list and not endpoint_list.complete
-        self._has_list = True
-        converted = [self._for_decisions(endpoint, is_live_update=is_live_update) for endpoint in changed]
+        is_live_update = self._has_received_list and not endpoint_list.complete
+        self._has_received_list = True
+        converted = [
+            self._convert_start_time(endpoint, is_live_update=is_live_update) for endpoint in changed
+        ]
         self._on_changed(EndpointsChanged(converted, endpoint_list.complete))
 
-    def _for_decisions(self, endpoint: Endpoint, *, is_live_update: bool) -> Endpoint:
+    def _convert_start_time(self, endpoint: Endpoint, *, is_live_update: bool) -> Endpoint:
         """The endpoint with its start time on the clock of the decisions."""
         worker_id = endpoint.worker_id
         started_at_ms = self._start_times.convert(
             worker_id, endpoint.started_at_ms, is_live_update=is_live_update
         )
         if endpoint.state is WorkerState.REMOVED:
-            self._start_times.forget(worker_id)
+            self._start_times.remove_worker(worker_id)
         return replace(endpoint, started_at_ms=started_at_ms)
 
     def _remove_all_except(self, worker_ids: set[int]) -> None:
@@ -157,7 +159,7 @@
             and previous.state is endpoint.state
             and previous.started_at_ms == endpoint.started_at_ms
         )
-        if self._has_list and not is_unchanged:
+        if self._has_received_list and not is_unchanged:
             started = f", started at {endpoint.started_at_ms:.0f}" if endpoint.started_at_ms else ""
             self._log(f"worker {endpoint.worker_id} is {endpoint.state.name}{started}", LOG_SOURCE)
 
--- a/function_router/net/endpoint_watch.py
+++ b/function_router/net/endpoint_watch.py
@@ -77,7 +77,7 @@
 
     def move_to(self, address: Address) -> None:
         """Follow the log at another address from the current position: the sequence numbers are the same."""
-        self._tracker.forget_requests()
+        self._tracker.reset_requests()
         self.client.move_to(address)
 
     # --- from the client ------------------------------------------------------------------------
@@ -96,7 +96,7 @@
         if state is SyncState.SNAPSHOT_REVOKED:
             self.client.request_again(f"its last event is {sequence}, before the snapshot that it sent")
         elif state is SyncState.CAUGHT_UP:
-            if not self.client.is_late:
+            if not self.client.is_delayed:
                 self._on_caught_up()
         elif state is SyncState.EVENTS_MISSING:
             self.client.request_again(f"events up to {sequence} are missing")
--- a/function_router/net/invariants.py
+++ b/function_router/net/invariants.py
@@ -23,9 +23,9 @@
 
     ONE_ANSWER = "each request gets one final answer"
     ANSWERED_IN_TIME = "the final answer leaves in time"
-    CLOSED_WITH_ANSWERS = "a connection is closed with all its requests answered"
-    STARTED_BY_THE_RULES = "the first byte of an exchange leaves only while it may start"
-    TIMEOUT_PASSED_ON = "a worker is sent no more time than the client has left"
+    ANSWERED_BEFORE_CLOSE = "a connection is closed with all its requests answered"
+    SENT_ONLY_WHILE_ALLOWED = "the first byte of an exchange leaves only while it may start"
+    TIMEOUT_WITHIN_DEADLINE = "a worker is sent no more time than the client has left"
 
 
 class InvariantMonitor:
--- a/function_router/net/pool_resources.py
+++ b/function_router/net/pool_resources.py
@@ -6,7 +6,7 @@
 from function_router.net.connection_budget import ConnectionBudget
 from function_router.net.event_loop import EventLoop
 from function_router.net.idle_limit import IdleLimit
-from function_router.net.readiness import ReadinessGate
+from function_router.net.readiness import ReadinessAdapter
 from function_router.net.telemetry import Telemetry
 
 
@@ -27,4 +27,4 @@
     telemetry: Telemetry
     budget: ConnectionBudget
     idle_limit: IdleLimit
-    readiness: ReadinessGate
+    readiness: ReadinessAdapter
--- a/function_router/net/pooled_worker.py
+++ b/function_router/net/pooled_worker.py
@@ -88,7 +88,7 @@
         self.state = state
         self._started_at_ms = max(started_at_ms, self._started_at_ms)
         if state is not WorkerState.READY:
-            self._return_unsent()
+            self._abort_unsendable()
         if is_replaced and self.queue:  # connections that are being established lead to the earlier process
             self._connect_for_queued()
         if state is WorkerState.REMOVED:
@@ -100,7 +100,7 @@
         has_moved = address is not None and address != self.address
         return has_moved or started_at_ms > self._started_at_ms
 
-    def _return_unsent(self) -> None:
+    def _abort_unsendable(self) -> None:
         """Finish the exchanges of which nothing was written and that may not be sent any more."""
         for exchange in [*self.queue, *self.connections.unwritten_exchanges()]:
             if check_worker(exchange, self.state):
@@ -130,7 +130,7 @@
         elif not_sent_reason := exchange.reason_not_to_send():
             exchange.finish_unsent(not_sent_reason, telemetry)
         else:
-            self._start(exchange, connection)
+            self._assign(exchange, connection)
 
     def _latest_connection_ms(self, exchange: Exchange) -> float:
         """Until when a connection must have been established to carry the exchange; infinite if any may."""
@@ -138,14 +138,14 @@
             return math.inf
         return self._resources.readiness.latest_connection_ms(self.worker_id)
 
-    def _start(self, exchange: Exchange, connection: WorkerConnection) -> None:
+    def _assign(self, exchange: Exchange, connection: WorkerConnection) -> None:
         """Put an exchange on a connection, and open a spare one for the next where that is called for.
 
         It is where this connection already carried an attempt, or where the settings allow connecting ahead.
         A health check is answered at once, so it calls for none.
         """
         is_shared = connection.has_attempt_in_flight
-        connection.start(exchange)
+        connection.assign(exchange)
         if isinstance(exchange, HealthCheck):
             return
         if is_shared or self._resources.transport.may_preconnect:
--- a/function_router/net/readiness.py
+++ b/function_router/net/readiness.py
@@ -31,7 +31,7 @@
         return True
 
 
-class ReadinessGate:
+class ReadinessAdapter:
     """Translates between the clock of the policy and the monotonic one of the connections."""
 
     __slots__ = ("_clock", "_policy")
--- a/function_router/net/router_process.py
+++ b/function_router/net/router_process.py
@@ -18,7 +18,7 @@
 from function_router.net.request_table import RequestTable
 from function_router.net.start_times import StartTimes
 from function_router.net.telemetry import Telemetry
-from function_router.net.transient_errors import retry_at_start
+from function_router.net.transient_errors import retry_at_startup
 from function_router.net.worker_pool import WorkerPool
 
 DEFAULT_LOG_NAME = "function_router"
@@ -163,7 +163,7 @@
             signal.SIGINT: self.drain.start,
             signal.SIGHUP: self._on_sighup,
         }
-        retry_at_start(lambda: self.loop.handle_signals(handlers))
+        retry_at_startup(lambda: self.loop.handle_signals(handlers))
         self.start()
         self.log(f"serving on {self.address[0]}:{self.address[1]}")
         try:
--- a/function_router/net/send_checks.py
+++ b/function_router/net/send_checks.py
@@ -51,16 +51,16 @@
     return check_worker(exchange, state) or exchange.reason_not_to_send()
 
 
-class StartViolation(Struct, frozen=True):
+class SendViolation(Struct, frozen=True):
     """A rule that an exchange broke when its first byte was written."""
 
     invariant: Invariant
     detail: str
 
 
-def start_violations(
+def find_send_violations(
     exchange: Exchange, state: WorkerState, written_at_ms: float, *, is_in_grace: bool
-) -> Iterator[StartViolation]:
+) -> Iterator[SendViolation]:
     """The rules that an exchange broke when its first byte was written.
 
     Args:
@@ -74,10 +74,10 @@
         not_sent_reason = not_sent_reason or NotSentReason.READINESS_UNPROVEN
     if not_sent_reason or exchange.is_done:
         cause = not_sent_reason.name if not_sent_reason else "finished already"
-        yield StartViolation(Invariant.STARTED_BY_THE_RULES, f"{_describe(exchange)}: {cause}")
+        yield SendViolation(Invariant.SENT_ONLY_WHILE_ALLOWED, f"{_describe(exchange)}: {cause}")
     excess_ms = exchange.timeout_excess_ms(written_at_ms)
     if excess_ms > MAX_TIMEOUT_EXCESS_MS:
-        yield StartViolation(Invariant.TIMEOUT_PASSED_ON, f"{_describe(exchange)}: {excess_ms:.0f} ms")
+        yield SendViolation(Invariant.TIMEOUT_WITHIN_DEADLINE, f"{_describe(exchange)}: {excess_ms:.0f} ms")
 
 
 def check_request(
--- a/function_router/net/sequence_tracker.py
+++ b/function_router/net/sequence_tracker.py
@@ -120,7 +120,7 @@
             return SyncState.LOG_IS_BEHIND
         return SyncState.CAUGHT_UP if self._unreadable_sequence is None else SyncState.EVENT_UNREADABLE
 
-    def forget_requests(self) -> None:
+    def reset_requests(self) -> None:
         """Forget what was requested again, as the log has moved: it may be requested once more."""
         self._invalid_line_position = None
         self._missing_after = None
--- a/function_router/net/start_times.py
+++ b/function_router/net/start_times.py
@@ -35,7 +35,7 @@
         """Record that the router has received all events that the endpoint log has now."""
         self._caught_up_at_ms = self._clock.now_ms()
 
-    def forget(self, worker_id: int) -> None:
+    def remove_worker(self, worker_id: int) -> None:
         """Forget a worker that was removed."""
         self._converted.pop(worker_id, None)
 
@@ -50,7 +50,7 @@
             is_live_update: whether the log has just published it, as opposed to a complete list.
         """
         if started_at_unix_ms is None:
-            self.forget(worker_id)
+            self.remove_worker(worker_id)
             return None
         previous = self._converted.get(worker_id)
         if previous is not None and previous.unix_ms == started_at_unix_ms:
--- a/function_router/net/transient_errors.py
+++ b/function_router/net/transient_errors.py
@@ -13,11 +13,11 @@
 )
 # During start-up, too: a previous process still holds the address, or the machine has not configured it yet;
 # epoll_ctl(2) finds too many watches.
-START_ERRORS = TRANSIENT_ERRORS | {errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENOSPC}
+STARTUP_ERRORS = TRANSIENT_ERRORS | {errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENOSPC}
 # A router has 10 s to become ready; an operation that fails for longer than this is reported.
-START_RETRY_S = 5.0
+STARTUP_RETRY_S = 5.0
 # Between two tries of an operation.
-START_RETRY_INTERVAL_S = 0.02
+STARTUP_RETRY_INTERVAL_S = 0.02
 
 ResultT = TypeVar("ResultT")
 
@@ -27,12 +27,12 @@
     return error.errno in TRANSIENT_ERRORS
 
 
-def retry_at_start(
+def retry_at_startup(
     operation: Callable[[], ResultT],
     read_monotonic_s: Callable[[], float] = time.monotonic,
     sleep: Callable[[float], None] = time.sleep,
 ) -> ResultT:
-    """Call an operation of the start-up, and again while it fails with one of START_ERRORS.
+    """Call an operation of the start-up, and again while it fails with one of STARTUP_ERRORS.
 
     Args:
         operation: The operation; its result is returned.
@@ -40,14 +40,14 @@
         sleep: Waits for a time in seconds.
 
     Raises:
-        OSError: Where the operation failed with another error, or for START_RETRY_S.
+        OSError: Where the operation failed with another error, or for STARTUP_RETRY_S.
         UnreadableFileError: The same, where the operation reads a file.
     """
-    give_up_at_s = read_monotonic_s() + START_RETRY_S
+    deadline_s = read_monotonic_s() + STARTUP_RETRY_S
     while True:
         try:
             return operation()
         except (OSError, UnreadableFileError) as error:
-            if error.errno not in START_ERRORS or read_monotonic_s() >= give_up_at_s:
+            if error.errno not in STARTUP_ERRORS or read_monotonic_s() >= deadline_s:
                 raise
-        sleep(START_RETRY_INTERVAL_S)
+        sleep(STARTUP_RETRY_INTERVAL_S)
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -12,8 +12,8 @@
 from function_router.net.connection import Connection
 from function_router.net.connection_activity import ConnectionActivity
 from function_router.net.event_loop import EventLoop
-from function_router.net.readiness import ReadinessGate
-from function_router.net.send_checks import check_exchange, check_readiness, start_violations
+from function_router.net.readiness import ReadinessAdapter
+from function_router.net.send_checks import check_exchange, check_readiness, find_send_violations
 from function_router.net.sockets import Unread
 from function_router.net.telemetry import Telemetry
 from function_router.net.timer_wheel import Timer
@@ -26,7 +26,7 @@
 # Unwritten bytes on one connection: a worker that doesn't read is sent no more.
 MAX_PENDING_BYTES = 256 * 1024
 
-_CLOSED_BY_NETWORK = (CloseReason.RESET_BY_PEER, CloseReason.CLOSED_BY_PEER)
+_CLOSED_REMOTELY = (CloseReason.RESET_BY_PEER, CloseReason.CLOSED_BY_PEER)
 
 
 class WorkerConnectionOwner(Protocol):
@@ -100,7 +100,7 @@
         owner: WorkerConnectionOwner,
         transport: TransportSettings,
         telemetry: Telemetry,
-        readiness: ReadinessGate,
+        readiness: ReadinessAdapter,
     ) -> None:
         """Begin to connect to `owner`, a worker, at its present address.
 
@@ -169,8 +169,8 @@
         Args:
             reason: Why it closed; its exchanges have to be on it still.
         """
-        is_broken_in_use = reason in _CLOSED_BY_NETWORK and bool(self.exchanges)
-        is_stale = is_broken_in_use and self._activity.is_just_in_use()
+        is_broken_in_use = reason in _CLOSED_REMOTELY and bool(self.exchanges)
+        is_stale = is_broken_in_use and self._activity.is_newly_active()
         return self._activity.idle_before_use_ms if is_stale else None
 
     def unwritten(self) -> list[Exchange]:
@@ -179,10 +179,10 @@
 
     # --- exchanges --------------------------------------------------------------------------
 
-    def start(self, exchange: Exchange) -> None:
+    def assign(self, exchange: Exchange) -> None:
         """Put an exchange on it, to be written at the end of this turn of the loop."""
         if not self.exchanges:
-            self._activity.on_in_use()
+            self._activity.on_active()
         self.exchanges[exchange.exchange_id] = exchange
         exchange.attach(self, self.connection.write(exchange.encode()), self.established_at_ms)
         self._unwritten_at_flush.append(exchange)
@@ -196,7 +196,7 @@
         self._activity.on_exchange_removed()
         if isinstance(exchange, Attempt):
             self.connection.write(frames.encode_cancel(exchange.exchange_id))
-        self._forbid_id(exchange.exchange_id)
+        self._prevent_id_reuse(exchange.exchange_id)
 
     def take_all_exchanges(self) -> list[Exchange]:
         """Take all exchanges off a closed connection, in the order in which they were put on it."""
@@ -208,7 +208,7 @@
         """Close it if it was kept only for an exchange that is finished now."""
         self._close_if_retired_and_empty()
 
-    def _forbid_id(self, exchange_id: bytes) -> None:
+    def _prevent_id_reuse(self, exchange_id: bytes) -> None:
         """Accept no other exchange with this id, as an answer to this one may still come."""
         self._used_ids[exchange_id] = None
         if len(self._used_ids) > MAX_USED_IDS:
@@ -253,13 +253,13 @@
             if exchange is None:  # a late or duplicate answer
                 continue
             if frame.code != frames.OK:  # a duplicate of this answer must not end a retry under the same id
-                self._forbid_id(frame.exchange_id)
+                self._prevent_id_reuse(frame.exchange_id)
             exchange.finish(exchange.parse_answer(frame))
         if self._reader.error is not None:
             self._telemetry.log(f"worker {self._owner.worker_id}: invalid frame: {self._reader.error}")
             self.close(CloseReason.PROTOCOL_ERROR)
         elif self._reader.has_partial_frame and self._partial_frame_timer is None:
-            self._check_partial_frame_after(PARTIAL_FRAME_TIMEOUT_MS)
+            self._schedule_partial_frame_check(PARTIAL_FRAME_TIMEOUT_MS)
 
     def on_flushed(self) -> None:
         """Check at run time that the exchanges that have just started were allowed to."""
@@ -267,14 +267,14 @@
             return
         for exchange in self._unwritten_at_flush:
             if exchange.is_started:
-                self._check_start(exchange)
+                self._check_send(exchange)
         self._unwritten_at_flush = self.unwritten()
 
-    def _check_start(self, exchange: Exchange) -> None:
+    def _check_send(self, exchange: Exchange) -> None:
         """Check at run time that an exchange whose first bytes were just written was allowed to start."""
         written_at_ms = self.connection.last_write_ms
         is_in_grace = self._readiness.is_within_drain_grace(self._owner.worker_id, written_at_ms)
-        violations = start_violations(exchange, self._owner.state, written_at_ms, is_in_grace=is_in_grace)
+        violations = find_send_violations(exchange, self._owner.state, written_at_ms, is_in_grace=is_in_grace)
         for violation in violations:
             self._telemetry.invariants.record(violation.invariant, violation.detail)
 
@@ -294,7 +294,7 @@
         """The connection is closed."""
         self._owner.on_connection_closed(self, reason)
 
-    def _check_partial_frame_after(self, delay_ms: float) -> None:
+    def _schedule_partial_frame_check(self, delay_ms: float) -> None:
         self._partial_frame_timer = self._loop.timers.call_later(delay_ms, self._check_partial_frame)
 
     def _check_partial_frame(self) -> None:
@@ -303,7 +303,7 @@
             return
         left_ms = PARTIAL_FRAME_TIMEOUT_MS - (monotonic_ms() - self.connection.last_received_ms)
         if left_ms > 0:
-            self._check_partial_frame_after(left_ms)
+            self._schedule_partial_frame_check(left_ms)
         else:
             self._telemetry.log(f"worker {self._owner.worker_id}: incomplete frame")
             self.close(CloseReason.READ_TIMEOUT)
--- a/function_router/net/worker_pool.py
+++ b/function_router/net/worker_pool.py
@@ -13,14 +13,14 @@
 from function_router.net.not_sent_reason import NotSentReason
 from function_router.net.pool_resources import PoolResources
 from function_router.net.pooled_worker import PooledWorker
-from function_router.net.readiness import AlwaysReady, ReadinessGate, ReadinessPolicy
+from function_router.net.readiness import AlwaysReady, ReadinessAdapter, ReadinessPolicy
 from function_router.net.telemetry import ATTEMPTS, PROBES, START_ORDERS, Telemetry
 from function_router.net.worker_connection import WorkerConnection
 from function_router.net.worker_messages import Attempt, Exchange, HealthCheck, StartOrder
 
 EXCHANGE_ID_BYTES = 8
 # The first id of start orders is random, so that routers don't use the same ones.
-FIRST_ORDER_ID_BITS = 62
+FIRST_EXCHANGE_ID_BITS = 62
 # A health check without an answer ends after this time. Workers answer it at once, whatever they run.
 HEALTH_CHECK_TIMEOUT_MS = 1_000.0
 
@@ -60,9 +60,9 @@
             telemetry=telemetry,
             budget=ConnectionBudget(max_connections, self._all_connections),
             idle_limit=IdleLimit(transport.keepalive_ms),
-            readiness=ReadinessGate(loop.clock, readiness or AlwaysReady()),
+            readiness=ReadinessAdapter(loop.clock, readiness or AlwaysReady()),
         )
-        self._order_ids = itertools.count(random.Random(seed).getrandbits(FIRST_ORDER_ID_BITS))
+        self._exchange_ids = itertools.count(random.Random(seed).getrandbits(FIRST_EXCHANGE_ID_BITS))
 
     # --- endpoints ----------------------------------------------------------------------------
 
@@ -82,7 +82,7 @@
             worker.update(address, state, started_at_ms)
         elif address is not None and state is not WorkerState.REMOVED:
             self.workers[worker_id] = PooledWorker(
-                worker_id, address, state, started_at_ms, self._resources, on_unused=self._forget
+                worker_id, address, state, started_at_ms, self._resources, on_unused=self._remove_worker
             )
 
     def workers_at(self, address: Address) -> list[int]:
@@ -104,7 +104,7 @@
         for worker_id in absent:
             self.update_endpoint(worker_id, None, WorkerState.REMOVED, 0.0)
 
-    def _forget(self, worker_id: int) -> None:
+    def _remove_worker(self, worker_id: int) -> None:
         self.workers.pop(worker_id, None)
 
     # --- exchanges ----------------------------------------------------------------------------
@@ -122,16 +122,16 @@
     def ensure_instances(self, order: StartOrder) -> None:
         """Send a start order or a probe, which gets its id here."""
         self._resources.telemetry.count(START_ORDERS if order.instances else PROBES)
-        order.exchange_id = self._next_order_id()
+        order.exchange_id = self._next_exchange_id()
         self._dispatch(order, self._resources.transport.start_order_timeout_ms)
 
     def check_health(self, check: HealthCheck) -> None:
         """Send a health check, which gets its id here."""
-        check.exchange_id = self._next_order_id()
+        check.exchange_id = self._next_exchange_id()
         self._dispatch(check, HEALTH_CHECK_TIMEOUT_MS)
 
-    def _next_order_id(self) -> bytes:
-        return next(self._order_ids).to_bytes(EXCHANGE_ID_BYTES, "big")
+    def _next_exchange_id(self) -> bytes:
+        return next(self._exchange_ids).to_bytes(EXCHANGE_ID_BYTES, "big")
 
     def cancel(self, exchange: Exchange) -> None:
         """Cancel an exchange unless it is done; a worker that may have received an attempt is notified."""
--- a/function_router/server.py
+++ b/function_router/server.py
@@ -9,7 +9,7 @@
 
 from function_router import config as configuration
 from function_router.net.router_process import RouterProcess
-from function_router.net.transient_errors import retry_at_start
+from function_router.net.transient_errors import retry_at_startup
 
 EXIT_OK = 0
 EXIT_INVALID_CONFIGURATION = 2
@@ -40,9 +40,9 @@
     Raises:
         ConfigurationError: The configuration is invalid, or its listen address can't be bound.
     """
-    config = retry_at_start(lambda: configuration.load(path))
+    config = retry_at_startup(lambda: configuration.load(path))
     try:
-        return retry_at_start(lambda: RouterProcess(config, reread=lambda: configuration.load(path)))
+        return retry_at_startup(lambda: RouterProcess(config, reread=lambda: configuration.load(path)))
     except OSError as error:
         problem = f"{error.strerror}: {config.listen}"
         raise configuration.ConfigurationError(configuration.LISTEN_KEY, problem) from None
--- a/tests/net/test_close_reason.py
+++ b/tests/net/test_close_reason.py
@@ -14,17 +14,17 @@
 )
 from function_router.net.endpoint_registry import worker_id_of
 
-PROOF_OF_NOT_RUN = {Outcome.NOT_SENT, Outcome.CONNECT_FAILED}
+NOT_RUN_OUTCOMES = {Outcome.NOT_SENT, Outcome.CONNECT_FAILED}
 
 
 @pytest.mark.parametrize("reason", CloseReason)
 def test_started_exchange_is_never_reported_as_not_run(reason):
-    assert outcome_of(reason, is_started=True) not in PROOF_OF_NOT_RUN
+    assert outcome_of(reason, is_started=True) not in NOT_RUN_OUTCOMES
 
 
 @pytest.mark.parametrize("reason", [reason for reason in CloseReason if reason is not CloseReason.CANCELLED])
 def test_exchange_that_was_not_started_is_reported_as_not_run(reason):
-    assert outcome_of(reason, is_started=False) in PROOF_OF_NOT_RUN
+    assert outcome_of(reason, is_started=False) in NOT_RUN_OUTCOMES
 
 
 @pytest.mark.parametrize("is_started", [False, True])
@@ -61,7 +61,7 @@
         (errno.ETIMEDOUT, CloseReason.UNREACHABLE),
     ],
 )
-def test_connect_that_fails_on_its_way_has_a_close_reason(error_number, reason):
+def test_connect_that_fails_while_in_progress_has_a_close_reason(error_number, reason):
     assert reason_of_connect_error(OSError(error_number, "connect")) is reason
 
 
--- a/tests/net/test_connect_retry.py
+++ b/tests/net/test_connect_retry.py
@@ -43,7 +43,7 @@
     timers.advance()
 
 
-def ignore():
+def do_nothing():
     """A retry that does nothing."""
 
 
@@ -51,7 +51,7 @@
 
 
 def test_failure_at_the_worker_is_not_retried(retry):
-    is_retried = retry.schedule_after(CloseReason.CONNECTION_REFUSED, ignore)
+    is_retried = retry.schedule_after(CloseReason.CONNECTION_REFUSED, do_nothing)
 
     assert not is_retried
     assert not retry.is_scheduled
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize(
     "reason", [CloseReason.LOCAL_FAILURE, CloseReason.NO_FILE_DESCRIPTOR, CloseReason.CONNECTION_LIMIT]
 )
-def test_failure_on_this_machine_is_retried_once_after_an_interval(clock, timers, retry, reason):
+def test_local_failure_is_retried_once_after_an_interval(clock, timers, retry, reason):
     retries = []
     is_retried = [retry.schedule_after(reason, lambda: retries.append(clock.now_ms)) for _ in range(3)]
     assert is_retried == [True] * 3
@@ -73,10 +73,10 @@
     assert not retry.is_scheduled
 
 
-def test_failures_on_this_machine_are_retried_for_a_limited_time(clock, timers, retry):
+def test_local_failures_are_retried_for_a_limited_time(clock, timers, retry):
     count = 0
 
-    while retry.schedule_after(CloseReason.LOCAL_FAILURE, ignore):
+    while retry.schedule_after(CloseReason.LOCAL_FAILURE, do_nothing):
         pass_interval(clock, timers)
         count += 1
 
@@ -85,13 +85,13 @@
     assert not retry.is_scheduled
 
 
-def test_established_connection_lets_the_limited_time_begin_again(clock, retry):
-    retry.schedule_after(CloseReason.LOCAL_FAILURE, ignore)
+def test_established_connection_resets_the_time_limit_of_retries(clock, retry):
+    retry.schedule_after(CloseReason.LOCAL_FAILURE, do_nothing)
     clock.advance(MAX_RETRY_MS)
 
     retry.on_connected()
 
-    assert retry.schedule_after(CloseReason.LOCAL_FAILURE, ignore)
+    assert retry.schedule_after(CloseReason.LOCAL_FAILURE, do_nothing)
 
 
 # --- in a router
@@ -110,7 +110,7 @@
     assert results == [(CloseReason.CONNECTION_REFUSED, False)]
 
 
-def test_connect_that_fails_on_this_machine_for_a_moment_is_tried_again_while_the_exchange_waits(
+def test_transient_local_connect_failure_is_retried_while_the_exchange_waits(
     start_router,
 ):
     worker = FakeWorker("s-9", instances=None)
@@ -130,7 +130,7 @@
     assert (failures, results, len(worker.requests)) == ([], [], 1)
 
 
-def test_connect_that_goes_on_failing_on_this_machine_proves_that_nothing_ran(start_router):
+def test_persistent_local_connect_failure_proves_that_the_attempt_did_not_run(start_router):
     worker = FakeWorker("s-9", instances=None)
     harness = start_router()
     harness.add_unlisted_worker(worker)
--- a/tests/net/test_connection_activity.py
+++ b/tests/net/test_connection_activity.py
@@ -31,34 +31,34 @@
     return ConnectionActivity(connection)
 
 
-def test_idle_time_ends_with_the_next_use_and_is_kept(clock, activity):
+def test_idle_time_before_the_last_use_is_recorded(clock, activity):
     clock.advance(IDLE_MS)
     assert activity.idle_ms() == IDLE_MS
 
-    activity.on_in_use()
+    activity.on_active()
     clock.advance(IDLE_MS)
 
     assert activity.idle_before_use_ms == IDLE_MS
 
 
 @pytest.mark.parametrize(
-    ("elapsed_ms", "is_just_in_use"), [(STALE_RESET_MS - 1.0, True), (STALE_RESET_MS, False)]
+    ("elapsed_ms", "is_newly_active"), [(STALE_RESET_MS - 1.0, True), (STALE_RESET_MS, False)]
 )
-def test_connection_is_just_in_use_for_a_moment(clock, activity, elapsed_ms, is_just_in_use):
+def test_connection_is_newly_active_for_a_limited_time(clock, activity, elapsed_ms, is_newly_active):
     clock.advance(IDLE_MS)
-    activity.on_in_use()
+    activity.on_active()
 
     clock.advance(elapsed_ms)
 
-    assert activity.is_just_in_use() == is_just_in_use
+    assert activity.is_newly_active() == is_newly_active
 
 
 @pytest.mark.parametrize(
     ("elapsed_ms", "is_silent"), [(UNRESPONSIVE_AFTER_MS, False), (UNRESPONSIVE_AFTER_MS + 1.0, True)]
 )
-def test_connection_is_silent_some_time_after_its_use_began(clock, activity, elapsed_ms, is_silent):
+def test_active_connection_is_silent_after_a_limited_time(clock, activity, elapsed_ms, is_silent):
     clock.advance(10 * UNRESPONSIVE_AFTER_MS)  # idle, which is no silence
-    activity.on_in_use()
+    activity.on_active()
 
     clock.advance(elapsed_ms)
 
@@ -66,7 +66,7 @@
 
 
 def test_received_bytes_end_the_silence(clock, connection, activity):
-    activity.on_in_use()
+    activity.on_active()
     clock.advance(2 * UNRESPONSIVE_AFTER_MS)
 
     connection.last_received_ms = clock.now_ms
@@ -77,8 +77,8 @@
 @pytest.mark.parametrize(
     ("silent_ms", "was_silent"), [(UNRESPONSIVE_AFTER_MS, False), (UNRESPONSIVE_AFTER_MS + 1.0, True)]
 )
-def test_silence_until_the_last_removal_is_remembered(clock, activity, silent_ms, was_silent):
-    activity.on_in_use()
+def test_silence_until_the_last_removal_is_recorded(clock, activity, silent_ms, was_silent):
+    activity.on_active()
     clock.advance(silent_ms)
 
     activity.on_exchange_removed()
@@ -88,7 +88,7 @@
 
 
 def test_silence_until_the_last_removal_is_over_once_bytes_are_received(clock, connection, activity):
-    activity.on_in_use()
+    activity.on_active()
     clock.advance(2 * UNRESPONSIVE_AFTER_MS)
     activity.on_exchange_removed()
 
--- a/tests/net/test_connection_budget.py
+++ b/tests/net/test_connection_budget.py
@@ -42,46 +42,46 @@
 
 
 @pytest.mark.parametrize(("count", "is_allowed"), [(0, True), (6, True), (7, False), (10, False)])
-def test_spare_connections_leave_a_part_of_the_budget(count, is_allowed):
+def test_spare_connections_use_only_a_share_of_the_budget(count, is_allowed):
     assert budget_with(count).allows_spare_connection() == is_allowed
 
 
-def test_no_connection_is_closed_while_the_budget_has_room():
+def test_no_connection_is_closed_while_the_budget_has_capacity():
     idle = FakeConnection(idle=9.0)
     budget = budget_with(MAX_CONNECTIONS - 1, [idle])
 
-    has_room = budget.make_room()
+    has_capacity = budget.ensure_capacity()
 
-    assert has_room
+    assert has_capacity
     assert idle.close_reasons == []
 
 
-def test_connection_that_is_idle_for_longest_makes_room():
+def test_longest_idle_connection_is_closed_once_the_budget_is_used_up():
     shorter, longest = FakeConnection(idle=5.0), FakeConnection(idle=6.0)
     unusable = [FakeConnection(idle=8.0, is_in_use=True), FakeConnection(idle=9.0, is_connected=False)]
     budget = budget_with(MAX_CONNECTIONS, [shorter, longest, *unusable])
 
-    has_room = budget.make_room()
+    has_capacity = budget.ensure_capacity()
 
-    assert has_room
+    assert has_capacity
     assert longest.close_reasons == [CloseReason.IDLE]
     assert all(connection.close_reasons == [] for connection in [shorter, *unusable])
 
 
-def test_budget_without_idle_connections_has_no_room_until_one_closes():
+def test_budget_without_idle_connections_has_no_capacity_until_one_closes():
     budget = budget_with(MAX_CONNECTIONS, [FakeConnection(idle=8.0, is_in_use=True)])
 
-    assert not budget.make_room()
+    assert not budget.ensure_capacity()
 
     budget.on_closed()
 
-    assert budget.make_room()
+    assert budget.ensure_capacity()
 
 
 # --- in a router
 
 
-def test_connections_keep_to_their_share_of_descriptors(start_router):
+def test_connections_stay_within_their_share_of_descriptors(start_router):
     worker = FakeWorker(instances=None)
     harness = start_router(worker, limits={"sockets": 32}, settings={"bounds": {"streams_per_conn": 1}})
     results = []
@@ -94,7 +94,7 @@
     assert len(worker.connections) <= 32 * router_process.WORKER_SHARE
 
 
-def test_idle_connections_make_room_for_a_worker_that_is_sent_to(start_router):
+def test_idle_connections_are_closed_to_connect_to_other_workers(start_router):
     harness = start_router(limits={"sockets": 32})
     pool = harness.pool
     workers = [FakeWorker(f"s-{number}") for number in range(20)]
--- a/tests/net/test_connection_set.py
+++ b/tests/net/test_connection_set.py
@@ -44,9 +44,7 @@
     assert results == []
 
 
-def test_connection_that_went_stale_while_idle_keeps_others_as_idle_from_use(
-    harness, worker, connections, results
-):
+def test_stale_connection_prevents_the_use_of_others_idle_for_as_long(harness, worker, connections, results):
     pool = harness.pool
     worker_id = worker.worker_id
     harness.run_until(lambda: min(each.idle_ms() for each in connections) > LONG_IDLE_MS, "both are idle")
@@ -66,7 +64,7 @@
     assert worker.requests[0].connection not in worker.connections[:2]
 
 
-def test_unresponsive_connection_gets_nothing_new(harness, worker, results):
+def test_unresponsive_connection_gets_no_new_exchange(harness, worker, results):
     worker.instances = None
     harness.run_attempt(worker, results)
 
@@ -79,7 +77,7 @@
 # --- opening connections
 
 
-def test_spare_connection_that_is_charged_for_is_opened_only_once_requests_share_one(start_router, worker):
+def test_spare_connection_with_a_handshake_cost_is_opened_only_once_requests_share_one(start_router, worker):
     worker.instances = None
     harness = start_router(worker, settings=COSTLY_HANDSHAKE)
     connects = []
--- a/tests/net/test_endpoint_list_status.py
+++ b/tests/net/test_endpoint_list_status.py
@@ -77,7 +77,7 @@
     harness.round_trip(harness.connect_client())
 
 
-def test_list_that_lacks_an_unreadable_event_is_not_confirmed(harness):
+def test_list_is_not_confirmed_after_an_unreadable_event_was_skipped(harness):
     wait_until_stale(harness)
 
     skip_unreadable_event(harness)
@@ -85,7 +85,7 @@
     assert not is_current(harness)
 
 
-def test_complete_list_makes_up_for_an_unreadable_event(harness, worker):
+def test_complete_list_replaces_an_unreadable_event(harness, worker):
     wait_until_stale(harness)
     skip_unreadable_event(harness)
 
@@ -95,7 +95,7 @@
     harness.run_until(lambda: is_current(harness), "the list is current")
 
 
-def test_noise_that_is_no_event_leaves_the_list_confirmed(harness):
+def test_invalid_line_that_is_not_an_event_does_not_prevent_a_confirmation(harness):
     wait_until_stale(harness)
     for _ in range(2):
         harness.endpoint_log.send_line(b"noise")
@@ -118,27 +118,27 @@
     harness.run_until(lambda: is_current(harness), "the list is current")
 
 
-def test_heartbeat_of_a_log_that_was_late_with_its_first_line_does_not_confirm_the_list(harness):
+def test_heartbeat_of_a_delayed_log_does_not_confirm_the_list(harness):
     wait_until_stale(harness)
 
     with mock.patch.object(endpoint_log_client, "MAX_FIRST_LINE_DELAY_MS", -1_000.0):
         harness.endpoint_log.send_line(b"1")
         client = harness.router_process.endpoint_watch.client
-        harness.run_until(lambda: client.is_late, "it is late")
+        harness.run_until(lambda: client.is_delayed, "it is late")
         harness.round_trip(harness.connect_client())
 
     assert not is_current(harness)
 
 
-def test_log_that_is_late_is_requested_again_later(harness):
+def test_delayed_log_is_requested_again_later(harness):
     client = harness.router_process.endpoint_watch.client
     with mock.patch.object(endpoint_log_client, "MAX_FIRST_LINE_DELAY_MS", -1_000.0):
         harness.endpoint_log.send_line(b"1")
-        harness.run_until(lambda: client.is_late, "it is late")
+        harness.run_until(lambda: client.is_delayed, "it is late")
 
-    with mock.patch.object(endpoint_log_client, "LATE_LOG_RETRY_MS", 0.0):
+    with mock.patch.object(endpoint_log_client, "DELAYED_LOG_RETRY_MS", 0.0):
         harness.run_until(lambda: len(harness.endpoint_log.requests()) == 2, "it is requested again")
-    assert not client.is_late
+    assert not client.is_delayed
 
 
 def test_confirmation_counts_as_of_the_poll_before_it(harness):
--- a/tests/net/test_endpoint_log_client.py
+++ b/tests/net/test_endpoint_log_client.py
@@ -61,7 +61,7 @@
     assert harness.endpoint_log.requests() == [["since", "1"], ["since", "2"]]
 
 
-def test_silence_timeout_starts_when_the_connection_is_up(harness):
+def test_silence_timeout_starts_when_the_connection_is_established(harness):
     client = harness.router_process.endpoint_watch.client
     client._last_line_ms -= endpoint_log_client.SILENCE_TIMEOUT_MS + 1  # connecting took that long
     before = client._connection
@@ -72,7 +72,7 @@
     assert client._connection is before
 
 
-def test_line_that_keeps_coming_is_waited_for_however_slow_the_log_is(harness, worker):
+def test_slow_line_is_awaited_as_long_as_its_bytes_keep_arriving(harness, worker):
     line = json.dumps(endpoint_event(2, worker.record("terminating"))).encode()
 
     with mock.patch.object(endpoint_log_client, "SILENCE_TIMEOUT_MS", 300.0):
@@ -104,7 +104,7 @@
     wait_for_sequence(harness, 2)
 
 
-def test_event_that_is_nested_too_deeply_is_skipped_like_any_other_invalid_one(harness):
+def test_event_that_is_nested_too_deeply_is_skipped(harness):
     nested = b'{"seq":2,"fleet":{"members":' + b"[" * 900 + b"]" * 900 + b"}}"
     log = start_moved_log(harness, RepeatingEndpointLog(nested, b'{"seq":3,"fleet":{"members":[]}}', b"3"))
     watch = harness.router_process.endpoint_watch
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -90,7 +90,7 @@
     assert endpoint.started_at_ms == 7.0
 
 
-def test_record_without_address_and_start_time_leaves_both_open():
+def test_record_without_address_and_start_time_leaves_both_unset():
     converted = AddressedEndpoint.from_record(record("s-1", host_port=""))
 
     assert converted.address is None
@@ -139,7 +139,7 @@
     assert registry_harness.pool.workers_at(ADDRESS) == [worker_id_of("s-2")]
 
 
-def test_draining_worker_displaces_nobody(registry_harness):
+def test_draining_worker_displaces_no_other_worker(registry_harness):
     registry_harness.apply(record("s-1"))
 
     changed = registry_harness.apply(record("s-2", "terminating", up_since_ms=2.0))
@@ -223,7 +223,7 @@
     assert 0.0 <= age_after_start_event(harness, worker, -3_600_000.0) < 1_000.0
 
 
-def test_start_in_a_live_update_was_not_long_ago_whatever_the_wall_clock_says(harness, worker):
+def test_implausibly_old_start_in_a_live_update_counts_from_now(harness, worker):
     assert 0.0 <= age_after_start_event(harness, worker, 3_600_000.0) < 1_000.0
 
 
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -63,7 +63,7 @@
     assert harness.endpoint_log.requests()[1] == ["since", "1"]
 
 
-def test_heartbeat_that_is_an_object_does_not_take_the_place_of_a_missing_event(harness, worker):
+def test_heartbeat_object_does_not_replace_a_missing_event(harness, worker):
     harness.endpoint_log.send_line({"seq": 2})
     wait_for_requests(harness, 2)
     harness.endpoint_log.send_line(endpoint_event(2, worker.record("terminating")))
@@ -71,7 +71,7 @@
     wait_for_state(harness, worker, WorkerState.DRAINING)
 
 
-def test_gap_that_stays_is_skipped_at_once_however_large_it_is(harness, worker):
+def test_persistent_gap_of_any_size_is_skipped_in_one_step(harness, worker):
     harness.endpoint_log.send_line(endpoint_event(500, worker.record("terminating")))
     wait_for_requests(harness, 2)
     harness.endpoint_log.send_line(endpoint_event(500, worker.record("terminating")))
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("is_announced", [True, False])
-def test_noise_received_twice_while_no_event_is_due_does_not_hide_the_next_event(
+def test_repeated_invalid_line_while_no_event_is_due_does_not_hide_the_next_event(
     harness, worker, is_announced
 ):
     harness.endpoint_log.send_line(b"noise")
--- a/tests/net/test_exchange_queue.py
+++ b/tests/net/test_exchange_queue.py
@@ -28,7 +28,7 @@
     assert results == [(CloseReason.CANCELLED, False)]
 
 
-def test_all_are_taken_out_oldest_first(queue, exchanges):
+def test_exchanges_are_taken_out_oldest_first(queue, exchanges):
     taken = queue.take_all()
 
     assert list(taken) == exchanges
--- a/tests/net/test_health_checks.py
+++ b/tests/net/test_health_checks.py
@@ -15,7 +15,7 @@
 GRACE_MS = 5_000.0  # a proof lasts for almost as long, however slow the machine is
 
 
-class Reports:
+class HealthCheckRecorder:
     """Stands in for the decisions: keeps what is reported of health checks."""
 
     def __init__(self, harness):
@@ -33,11 +33,11 @@
 @pytest.fixture
 def reports(harness):
     """What the harness reports of health checks, which the decisions do not get."""
-    return Reports(harness)
+    return HealthCheckRecorder(harness)
 
 
 @pytest.fixture
-def stale(start_router, worker):
+def stale_harness(start_router, worker):
     """A router whose endpoint list was never confirmed, and is not believed any more."""
     harness = start_router(worker, settings={"invariants": {"drain_grace": GRACE_MS}})
     harness.round_trip(harness.connect_client())
@@ -55,14 +55,14 @@
     return worker.received(HEALTH_CHECK)[-1]
 
 
-def prove_ready(harness, worker):
+def obtain_lease(harness, worker):
     """Have a worker asked and let it answer that it is ready."""
     worker.answer(check_health(harness, worker), READY_ANSWER, fields="")
     harness.round_trip(harness.connect_client())
-    harness.run_until(lambda: is_proven(harness, worker), "the answer is known")
+    harness.run_until(lambda: has_lease(harness, worker), "the answer is known")
 
 
-def is_proven(harness, worker):
+def has_lease(harness, worker):
     process = harness.router_process
     return process.router.latest_connection_ms(worker.worker_id, process.loop.clock.now_ms()) > 0
 
@@ -78,7 +78,7 @@
         (worker_frames.OK, Outcome.ERROR, Readiness.UNKNOWN),
     ],
 )
-def test_answer_is_reported_with_the_times_of_question_and_connection(
+def test_answer_is_reported_with_the_times_of_the_health_check_and_connection(
     harness, worker, reports, code, outcome, readiness
 ):
     clock = harness.router_process.loop.clock
@@ -133,45 +133,45 @@
 # --- new work while the list is stale
 
 
-def test_new_work_to_a_worker_without_a_proof_is_not_sent_and_probes_are(stale, worker, results):
+def test_worker_without_a_lease_gets_probes_but_no_new_work(stale_harness, worker, results):
     worker_id = worker.worker_id
-    stale.pool.send(attempt(worker_id, results))
-    stale.pool.ensure_instances(start_order(worker_id, results))
+    stale_harness.pool.send(attempt(worker_id, results))
+    stale_harness.pool.ensure_instances(start_order(worker_id, results))
 
     assert results == [(CloseReason.NOT_SENT, False)] * 2
     assert f"not sent {NotSentReason.READINESS_UNPROVEN.name} 2" in (
-        stale.router_process.telemetry.take_counters()
+        stale_harness.router_process.telemetry.take_counters()
     )
 
-    stale.pool.ensure_instances(start_order(worker_id, results, instances=0))
-    stale.run_until(lambda: len(results) == 3, "the probe is answered")
+    stale_harness.pool.ensure_instances(start_order(worker_id, results, instances=0))
+    stale_harness.run_until(lambda: len(results) == 3, "the probe is answered")
 
 
-def test_new_work_leaves_on_the_connection_that_has_carried_the_proof(stale, worker, results):
-    prove_ready(stale, worker)
+def test_new_work_is_sent_on_the_connection_of_the_health_check(stale_harness, worker, results):
+    obtain_lease(stale_harness, worker)
 
-    stale.run_attempt(worker, results)
+    stale_harness.run_attempt(worker, results)
 
     assert worker.requests[0].connection is worker.connections[0]
-    assert dict(stale.router_process.telemetry.invariants.violations) == {}
+    assert dict(stale_harness.router_process.telemetry.invariants.violations) == {}
 
 
-def test_connection_that_is_newer_than_the_proof_carries_no_new_work(stale, worker, results):
-    prove_ready(stale, worker)
-    [connection] = stale.connections_to(worker.worker_id)
+def test_connection_established_after_the_health_check_gets_no_new_work(stale_harness, worker, results):
+    obtain_lease(stale_harness, worker)
+    [connection] = stale_harness.connections_to(worker.worker_id)
     connection.established_at_ms += 60_000.0
 
-    stale.pool.send(attempt(worker.worker_id, results))
+    stale_harness.pool.send(attempt(worker.worker_id, results))
 
     assert results == [(CloseReason.NOT_SENT, False)]
 
 
-def test_attempt_whose_write_is_delayed_past_the_proof_is_not_sent(stale, worker, results):
-    prove_ready(stale, worker)
-    [connection] = stale.connections_to(worker.worker_id)
-    stale.pool.send(attempt(worker.worker_id, results))
-    stale.router_process.router.fleet.leases.revoke(
-        stale.router_process.router.fleet.workers.by_id[worker.worker_id]
+def test_attempt_whose_write_is_delayed_past_the_lease_is_not_sent(stale_harness, worker, results):
+    obtain_lease(stale_harness, worker)
+    [connection] = stale_harness.connections_to(worker.worker_id)
+    stale_harness.pool.send(attempt(worker.worker_id, results))
+    stale_harness.router_process.router.fleet.leases.revoke(
+        stale_harness.router_process.router.fleet.workers.by_id[worker.worker_id]
     )
 
     connection.on_write_delayed()
@@ -180,42 +180,44 @@
     assert worker.requests == []
 
 
-def test_first_byte_after_the_grace_is_counted_as_a_violation(stale, worker, results):
-    prove_ready(stale, worker)
-    fleet = stale.router_process.router.fleet
-    stale.pool.send(attempt(worker.worker_id, results))
+def test_first_byte_after_the_drain_grace_is_counted_as_a_violation(stale_harness, worker, results):
+    obtain_lease(stale_harness, worker)
+    fleet = stale_harness.router_process.router.fleet
+    stale_harness.pool.send(attempt(worker.worker_id, results))
     fleet.leases._interrupted_ms -= 2 * GRACE_MS  # as if no check had been made just before the write
     fleet.workers.by_id[worker.worker_id].lease.process_seen_ms -= 2 * GRACE_MS
 
-    stale.run_until(lambda: worker.requests, "it runs")
+    stale_harness.run_until(lambda: worker.requests, "it runs")
 
-    assert dict(stale.router_process.telemetry.invariants.violations) == {Invariant.STARTED_BY_THE_RULES: 1}
+    assert dict(stale_harness.router_process.telemetry.invariants.violations) == {
+        Invariant.SENT_ONLY_WHILE_ALLOWED: 1
+    }
 
 
 # --- a request from end to end
 
 
-def test_trace_of_a_request_says_why_it_was_not_sent(stale, worker):
-    client = stale.connect_client()
+def test_trace_of_a_request_says_why_it_was_not_sent(stale_harness, worker):
+    client = stale_harness.connect_client()
     client.send_request(ttl="400")
-    stale.run_until(lambda: worker.received(HEALTH_CHECK), "the worker is asked")
+    stale_harness.run_until(lambda: worker.received(HEALTH_CHECK), "the worker is asked")
     worker.answer(worker.received(HEALTH_CHECK)[-1], DRAINING_ANSWER, fields="")
-    stale.run_until(lambda: client.answers, "it is rejected")
+    stale_harness.run_until(lambda: client.answers, "it is rejected")
 
-    [trace] = [line for line in stale.log_lines if "rejected after" in line]
+    [trace] = [line for line in stale_harness.log_lines if "rejected after" in line]
     assert f"health check of {worker.worker_id}" in trace
     assert f"{worker.worker_id}: DRAINING" in trace
     assert worker.requests == []
-    assert any("says that it is draining" in line for line in stale.log_lines)
+    assert any("says that it is draining" in line for line in stale_harness.log_lines)
 
 
-def test_request_is_served_by_a_worker_that_says_that_it_is_ready(stale, worker):
-    client = stale.connect_client()
+def test_request_is_served_by_a_worker_that_reports_that_it_is_ready(stale_harness, worker):
+    client = stale_harness.connect_client()
     client.send_request()
-    stale.run_until(lambda: worker.received(HEALTH_CHECK), "the worker is asked")
+    stale_harness.run_until(lambda: worker.received(HEALTH_CHECK), "the worker is asked")
     worker.answer(worker.received(HEALTH_CHECK)[-1], READY_ANSWER, fields="")
-    stale.run_until(lambda: worker.requests, "it runs")
+    stale_harness.run_until(lambda: worker.requests, "it runs")
     worker.answer(worker.requests[0], body=b"served")
-    stale.run_until(lambda: client.answers, "it is answered")
+    stale_harness.run_until(lambda: client.answers, "it is answered")
 
     assert client.answers[0][1:] == ("answer", {1: b"served", 2: {}, 3: True})
--- a/tests/net/test_invariants.py
+++ b/tests/net/test_invariants.py
@@ -32,7 +32,7 @@
     return dict(harness.router_process.telemetry.invariants.violations)
 
 
-def test_attempt_and_answer_by_the_rules_violate_nothing(harness, worker):
+def test_regular_attempt_and_answer_violate_no_invariant(harness, worker):
     results = []
 
     harness.pool.send(attempt(UNLISTED_WORKER_ID, results))
@@ -49,18 +49,18 @@
 
     harness.run_until(lambda: worker.requests, "it runs")
 
-    assert violations(harness) == {Invariant.STARTED_BY_THE_RULES: 1}
+    assert violations(harness) == {Invariant.SENT_ONLY_WHILE_ALLOWED: 1}
     assert any("WORKER_DRAINING" in line for line in harness.log_lines)
 
 
-def test_more_time_than_the_client_has_left_is_counted(harness, worker):
+def test_timeout_beyond_the_deadline_of_the_client_is_counted(harness, worker):
     late = attempt(UNLISTED_WORKER_ID, [])
     harness.pool.send(late)
 
     late.encoded_timeout_ms += 1_000.0
     harness.run_until(lambda: worker.requests, "it runs")
 
-    assert violations(harness) == {Invariant.TIMEOUT_PASSED_ON: 1}
+    assert violations(harness) == {Invariant.TIMEOUT_WITHIN_DEADLINE: 1}
 
 
 @pytest.fixture
@@ -107,12 +107,12 @@
     assert violations(harness) == {
         Invariant.ANSWERED_IN_TIME: 1,
         Invariant.ONE_ANSWER: 1,
-        Invariant.CLOSED_WITH_ANSWERS: 1,
+        Invariant.ANSWERED_BEFORE_CLOSE: 1,
     }
     assert client.answer_kinds() == {1: "broken"}
 
 
-def test_violations_are_in_the_line_of_the_counters(harness):
+def test_violations_are_included_in_the_counters_line(harness):
     telemetry = harness.router_process.telemetry
 
     telemetry.invariants.record(Invariant.ONE_ANSWER, "by the test")
--- a/tests/net/test_pooled_worker.py
+++ b/tests/net/test_pooled_worker.py
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("is_connected", [False, True], ids=["connecting", "connected"])
 @pytest.mark.parametrize("state", [WorkerState.DRAINING, WorkerState.REMOVED])
-def test_unsent_exchanges_of_a_worker_that_drains_or_is_removed_are_returned(
+def test_unsent_exchanges_are_aborted_when_their_worker_drains_or_is_removed(
     harness, pool, worker, results, state, is_connected
 ):
     worker_id = worker.worker_id
@@ -67,7 +67,7 @@
     assert results[2] == (Outcome.OK, True)
 
 
-def test_drain_in_the_endpoint_log_leaves_running_requests_alone(harness, worker):
+def test_drain_in_the_endpoint_log_does_not_affect_running_requests(harness, worker):
     worker.instances = 1
     client = harness.run_request(worker)
 
@@ -136,7 +136,7 @@
     assert results == []
 
 
-def test_connection_to_the_earlier_process_carries_nothing_new_once_established(
+def test_connection_to_the_earlier_process_gets_no_exchange_once_established(
     start_router, unlisted_worker, results
 ):
     harness = start_router(unlisted_worker)
--- a/tests/net/test_send_checks.py
+++ b/tests/net/test_send_checks.py
@@ -20,7 +20,7 @@
 NOW_MS = 10_000.0
 WINDOW_MS = 1_500.0
 USABLE_WINDOW_MS = WINDOW_MS - IDEMPOTENCY_WINDOW_MARGIN_MS
-KEYED = RequestClass("save", retry_safety=RetrySafety.IDEMPOTENCY_KEY, idempotency_window_ms=WINDOW_MS)
+KEYED_CLASS = RequestClass("save", retry_safety=RetrySafety.IDEMPOTENCY_KEY, idempotency_window_ms=WINDOW_MS)
 
 
 def pending(*, first_run_at_ms=math.inf, is_client_connected=True):
@@ -48,13 +48,13 @@
         (WorkerState.REMOVED, NotSentReason.WORKER_REMOVED, NotSentReason.WORKER_REMOVED),
     ],
 )
-def test_state_of_the_worker_says_what_it_may_be_sent(state, new_work, probe):
+def test_worker_state_decides_which_exchanges_may_be_sent(state, new_work, probe):
     assert check_worker(attempt(7, []), state) is new_work
     assert check_worker(start_order(7, [], instances=1), state) is new_work
     assert check_worker(start_order(7, [], instances=0), state) is probe
 
 
-def test_exchange_is_asked_for_its_own_reason_only_if_the_worker_may_be_sent_it():
+def test_check_of_the_exchange_runs_only_if_the_worker_state_allows_it():
     limited = start_order(7, [])
     asked = []
 
@@ -72,10 +72,10 @@
 # --- the request
 
 
-def test_request_of_a_client_that_has_gone_is_not_sent():
+def test_request_of_a_disconnected_client_is_not_sent():
     gone = pending(is_client_connected=False)
 
-    assert check_request(gone, KEYED, [], NOW_MS) is NotSentReason.CLIENT_GONE
+    assert check_request(gone, KEYED_CLASS, [], NOW_MS) is NotSentReason.CLIENT_GONE
 
 
 @pytest.mark.parametrize(
@@ -87,14 +87,14 @@
     started = attempt_created_at(NOW_MS - elapsed_ms, is_started=True)
     ended = pending(first_run_at_ms=NOW_MS - elapsed_ms)
 
-    assert check_request(pending(), KEYED, [started], NOW_MS) is reason
-    assert check_request(ended, KEYED, [], NOW_MS) is reason
+    assert check_request(pending(), KEYED_CLASS, [started], NOW_MS) is reason
+    assert check_request(ended, KEYED_CLASS, [], NOW_MS) is reason
 
 
-def test_attempt_of_which_nothing_was_written_opens_no_idempotency_window():
+def test_unwritten_attempt_starts_no_idempotency_window():
     unwritten = attempt_created_at(NOW_MS - 2 * WINDOW_MS, is_started=False)
 
-    assert check_request(pending(), KEYED, [unwritten], NOW_MS) is None
+    assert check_request(pending(), KEYED_CLASS, [unwritten], NOW_MS) is None
 
 
 @pytest.mark.parametrize("request_class", [None, RequestClass("view", retry_safety=RetrySafety.IDEMPOTENT)])
--- a/tests/net/test_sequence_tracker.py
+++ b/tests/net/test_sequence_tracker.py
@@ -38,7 +38,7 @@
     ]
 
 
-def test_applied_event_makes_the_next_invalid_line_a_first_one(tracker):
+def test_invalid_line_after_an_applied_event_is_requested_again(tracker):
     tracker.record_invalid_line()
 
     tracker.record_applied(6, is_ahead_of_gap=False)
@@ -76,11 +76,11 @@
     assert repeated is SyncState.EVENTS_MISSING
 
 
-def test_forgotten_requests_may_be_made_again(tracker):
+def test_requests_may_be_repeated_after_a_reset(tracker):
     tracker.record_announcement(7, may_repeat_request=False)
     tracker.record_invalid_line()
 
-    tracker.forget_requests()
+    tracker.reset_requests()
 
     assert tracker.record_announcement(7, may_repeat_request=False) is SyncState.EVENTS_MISSING
     assert tracker.record_invalid_line() is InvalidLineResponse.REQUEST_AGAIN
@@ -96,7 +96,7 @@
     assert tracker.position == 5
 
 
-def test_snapshot_that_an_announcement_confirms_stays(tracker):
+def test_snapshot_confirmed_by_an_announcement_is_kept(tracker):
     tracker.record_applied(99, is_ahead_of_gap=True)
 
     confirmed = tracker.record_announcement(99, may_repeat_request=False)
--- a/tests/net/test_start_order_limit.py
+++ b/tests/net/test_start_order_limit.py
@@ -13,7 +13,7 @@
 from function_router.net.close_reason import CloseReason
 from function_router.net.codecs import worker_frames
 
-LIMITED = {"family_info": {**SETTINGS["family_info"], "load_window": 5000.0, "free_loads": 2.0}}
+LIMITED_START_ORDERS = {"family_info": {**SETTINGS["family_info"], "load_window": 5000.0, "free_loads": 2.0}}
 CLIENT_ID = "ab" * 8
 
 
@@ -31,7 +31,7 @@
         harness.router_process.router.start_order_limits.sent.add(now_ms)
 
 
-def order_now(harness, instances):
+def send_start_order(harness, instances):
     """Carry out a start order that was decided on now."""
     now_ms = harness.router_process.loop.clock.now_ms()
     harness.table.begin_batch(now_ms)
@@ -39,10 +39,10 @@
     harness.table.ensure_instances(EnsureInstances(UNLISTED_WORKER_ID, FUNCTION, instances))
 
 
-def order_at_unconnected(harness, worker):
+def send_start_order_before_connecting(harness, worker):
     """Carry out a start order to a worker to which no connection is established yet."""
     harness.add_unlisted_worker(worker)
-    order_now(harness, instances=1)
+    send_start_order(harness, instances=1)
 
 
 def ordered_instances(worker):
@@ -60,7 +60,7 @@
 
 
 def test_requests_that_clients_cancel_do_not_raise_the_limit(start_router):
-    harness = start_router(FakeWorker(instances=None), settings=LIMITED)
+    harness = start_router(FakeWorker(instances=None), settings=LIMITED_START_ORDERS)
     client = harness.connect_client()
 
     for seqid in range(1, 41):
@@ -71,8 +71,8 @@
     assert harness.router_process.router.fleet.arrivals.recent == {}
 
 
-def test_id_that_is_sent_again_after_each_rejection_counts_once(start_router):
-    harness = start_router(FakeWorker(instances=None), settings=LIMITED)
+def test_request_id_sent_again_after_each_rejection_counts_once(start_router):
+    harness = start_router(FakeWorker(instances=None), settings=LIMITED_START_ORDERS)
     client = harness.connect_client()
 
     for seqid in range(1, 11):
@@ -84,10 +84,10 @@
 
 
 @pytest.mark.parametrize(("others", "is_sent"), [(1, True), (2, False)], ids=["room", "no-room"])
-def test_order_whose_connection_is_late_keeps_to_the_limit_of_when_it_is_sent(start_router, others, is_sent):
-    harness = start_router(settings=LIMITED)
+def test_order_delayed_by_its_connection_is_limited_as_of_when_it_is_sent(start_router, others, is_sent):
+    harness = start_router(settings=LIMITED_START_ORDERS)
     worker = FakeWorker("s-9", instances=None)
-    order_at_unconnected(harness, worker)
+    send_start_order_before_connecting(harness, worker)
     shift_clock(harness, 4500.0)
     count_orders(harness, others)
     [connection] = harness.connections_to()
@@ -103,10 +103,10 @@
     assert min(ordered) > one_second_ago_ms
 
 
-def test_order_behind_bytes_that_the_worker_does_not_read_is_checked_again(start_router):
-    harness = start_router(settings=LIMITED)
+def test_order_behind_unread_bytes_is_checked_again(start_router):
+    harness = start_router(settings=LIMITED_START_ORDERS)
     worker = FakeWorker("s-9", instances=None)
-    order_at_unconnected(harness, worker)
+    send_start_order_before_connecting(harness, worker)
     harness.run_until(lambda: worker.frames, "a connection is established")
     [connection, *_] = harness.connections_to()
     harness.router_process.router.start_order_limits.sent.clear()
@@ -116,7 +116,7 @@
     with mock.patch.object(worker_connection, "MAX_PENDING_BYTES", 1 << 30):
         for other in harness.connections_to()[1:]:
             other.connection.close(CloseReason.IDLE)
-        order_now(harness, instances=2)
+        send_start_order(harness, instances=2)
     assert [exchange.instances for exchange in connection.unwritten()] == [2]
 
     shift_clock(harness, 4500.0)
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -45,7 +45,7 @@
     assert 0.0 <= machine.age_ms(8_000.0, is_live_update=is_live_update) <= 8_000.0
 
 
-def test_wall_clock_that_was_wrong_at_the_start_and_was_set_right_is_trusted():
+def test_wall_clock_that_was_corrected_after_startup_is_used():
     machine = FakeMachine(wrong_by_ms=HOUR_MS)
     machine.set_wall_clock(0.0)
 
@@ -67,7 +67,7 @@
     assert machine.age_ms(10 * MAX_LIVE_UPDATE_AGE_MS, is_live_update=True) == 10 * MAX_LIVE_UPDATE_AGE_MS
 
 
-def test_repeated_start_is_the_same_start_whatever_happened_to_the_wall_clock():
+def test_repeated_start_time_is_converted_alike_after_a_step_of_the_wall_clock():
     machine = FakeMachine()
     started_at = machine.true_unix_ms - 2_000.0
     first = machine.start_times.convert(WORKER_ID, started_at, is_live_update=True)
--- a/tests/net/test_transient_errors.py
+++ b/tests/net/test_transient_errors.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from function_router.net.transient_errors import START_RETRY_S, retry_at_start
+from function_router.net.transient_errors import STARTUP_RETRY_S, retry_at_startup
 
 
 class FakeSleepClock:
@@ -36,14 +36,14 @@
         raise OSError(error_number, "always")
 
     with pytest.raises(OSError, match="always"):
-        retry_at_start(fail, clock.read_s, clock.sleep)
+        retry_at_startup(fail, clock.read_s, clock.sleep)
     return calls_s
 
 
 def test_transient_error_is_retried_for_a_limited_time(clock):
     calls_s = retry_until_failure(clock, errno.ENFILE)
 
-    assert START_RETRY_S <= calls_s[-1] < START_RETRY_S + 0.1
+    assert STARTUP_RETRY_S <= calls_s[-1] < STARTUP_RETRY_S + 0.1
 
 
 def test_other_error_is_not_retried(clock):
--- a/tests/net/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -17,9 +17,9 @@
 # The codes of answers, as documented.
 NOT_LOADED = 2
 QUEUE_FULL = 3
-NO_FRAME = b"HTTP/1.1 200 OK\r\n\r\n"
+INVALID_FRAME = b"HTTP/1.1 200 OK\r\n\r\n"
 MAX_EXCHANGES = 32  # on one connection, unless the settings say otherwise
-NO_READ_S = 0.4  # for which a worker does not read
+READ_PAUSE_S = 0.4  # for which a worker does not read
 
 
 @pytest.fixture
@@ -42,7 +42,7 @@
     harness.pool.send(attempt(second.worker_id, second_results))
     harness.run_until(lambda: first.requests and second.requests, "both run")
 
-    first.requests[0].connection.sock.sendall(NO_FRAME)
+    first.requests[0].connection.sock.sendall(INVALID_FRAME)
     harness.run_until(lambda: first_results, "the first attempt ends")
     second.answer(second.requests[0])
     harness.run_until(lambda: second_results, "the second attempt ends")
@@ -51,7 +51,7 @@
     assert second_results == [(Outcome.OK, True)]
 
 
-def test_invalid_frame_leaves_requests_on_other_connections_to_the_worker_alone(
+def test_invalid_frame_does_not_affect_requests_on_other_connections_to_the_worker(
     harness, pool, worker, results
 ):
     worker_id = worker.worker_id
@@ -66,7 +66,7 @@
         )
         harness.run_until(lambda number=number: len(worker.requests) > number, "it runs")
 
-    worker.requests[1].connection.sock.sendall(NO_FRAME)
+    worker.requests[1].connection.sock.sendall(INVALID_FRAME)
     harness.run_until(lambda: results, "one attempt ends")
     for request in (worker.requests[0], worker.requests[2]):
         worker.answer(request)
@@ -104,7 +104,7 @@
 # --- ids of exchanges, and the time that they state
 
 
-def test_connection_carries_limited_exchanges_and_no_id_twice(harness, pool, worker, results):
+def test_connection_limits_its_exchanges_and_carries_no_id_twice(harness, pool, worker, results):
     worker_id = worker.worker_id
 
     for number in range(MAX_EXCHANGES + 1):
@@ -140,7 +140,7 @@
     assert second_results == [(Outcome.NOT_LOADED, True)]
 
 
-def test_time_left_is_stated_as_of_the_first_byte(harness, pool, worker, results):
+def test_encoded_timeout_is_computed_when_the_first_byte_is_written(harness, pool, worker, results):
     harness.run_attempt(worker, results)
     late = attempt(worker.worker_id, results, exchange_id=b"abcdefgh", within_ms=5_000.0)
     with mock.patch.object(connection_set, "CONNECTIONS_BEFORE_SHARING", 1):
@@ -148,7 +148,7 @@
     connection = late.holder.connection
 
     connection._writer.is_blocked = True  # the worker does not read for a while
-    time.sleep(NO_READ_S)
+    time.sleep(READ_PAUSE_S)
     connection._ready(WRITE)
     harness.run_until(lambda: len(worker.requests) == 2, "it runs")
 
--- a/tests/net/test_worker_pool.py
+++ b/tests/net/test_worker_pool.py
@@ -86,7 +86,7 @@
     assert late.not_sent_reason is NotSentReason.DEADLINE_PASSED
 
 
-def test_start_orders_have_ids_of_their_own(harness, pool, worker):
+def test_start_orders_have_unique_ids(harness, pool, worker):
     for _ in range(3):
         pool.ensure_instances(start_order(worker.worker_id, []))
     harness.run_until(lambda: len(worker.frames) == 3, "all arrive")
