--- a/function_router/net/close_reason.py
+++ b/function_router/net/close_reason.py
@@ -1,4 +1,4 @@
-"""Why a connection, or an exchange on it, ended, and the outcome that is reported to the decision module."""
+"""Reasons for the end of a connection or an exchange, and the outcomes reported to the decision module."""
 
 import errno
 from enum import Enum, auto
@@ -10,34 +10,34 @@
 
 
 class CloseReason(Enum):
-    """Why a connection, or an exchange on it, ended without an answer."""
+    """The reason why a connection, or an exchange on a connection, ended without an answer."""
 
     CONNECTION_REFUSED = auto()  # the peer's host refused the connection
-    UNREACHABLE = auto()  # connecting failed in another way
-    CONNECT_TIMEOUT = auto()  # connecting took too long
-    NO_FILE_DESCRIPTOR = auto()  # none is left
+    UNREACHABLE = auto()  # the connect failed with an error that no other member stands for
+    CONNECT_TIMEOUT = auto()  # the connect took too long
+    NO_FILE_DESCRIPTOR = auto()  # this machine has no file descriptor left
     CONNECTION_LIMIT = auto()  # as many connections as the limits allow are open
     LOCAL_FAILURE = auto()  # a system call failed for a reason that says nothing about the peer
     CLOSED_BY_PEER = auto()  # the peer closed the connection
     RESET_BY_PEER = auto()  # the connection broke
-    PROTOCOL_ERROR = auto()  # the peer sent what its protocol doesn't allow
-    WRITE_BUFFER_FULL = auto()  # the peer doesn't read, and too much is queued for it
+    PROTOCOL_ERROR = auto()  # the peer violated the protocol
+    WRITE_BUFFER_FULL = auto()  # the peer doesn't read, and too many bytes are queued for it
     READ_TIMEOUT = auto()  # nothing was received for too long
-    IDLE = auto()  # closed by this router, with nothing pending on it
-    ENDPOINT_REPLACED = auto()  # closed by this router, as the worker was removed, moved or restarted
+    IDLE = auto()  # this router closed the connection, with nothing pending on it
+    ENDPOINT_REPLACED = auto()  # this router closed it as the worker was removed, moved or restarted
     DRAINING = auto()  # the worker accepts no new work
-    NOT_SENT = auto()  # not one byte was written, for a reason that is not the connection's
-    CANCELLED = auto()  # cancelled by the decision module
-    DEADLINE_EXCEEDED = auto()  # no answer in time
+    NOT_SENT = auto()  # no byte was written, for a reason that does not lie with the connection
+    CANCELLED = auto()  # the decision module cancelled the exchange
+    DEADLINE_EXCEEDED = auto()  # no answer arrived in time
     SHUTDOWN = auto()  # this router stops
 
 
 class ReportedOutcomes(Struct, frozen=True):
-    """What is reported to the decision module of an attempt or start order that ended without an answer.
+    """The outcomes that are reported to the decision module for exchanges that end without an answer.
 
     Attributes:
-        if_started: Some of it was written, so that the worker may have run it.
-        if_not_started: Not one byte of it was written, so that the worker cannot have run it.
+        if_started: The outcome if some bytes of the exchange were written: the worker may have run it.
+        if_not_started: The outcome if no byte of the exchange was written: the worker cannot have run it.
     """
 
     if_started: Outcome
@@ -71,8 +71,8 @@
 }
 
 _DESCRIPTOR_LIMIT_ERRORS = frozenset({errno.EMFILE, errno.ENFILE})
-# Errors with which connect(2) and epoll_ctl(2) fail at once: memory, ports, routes and firewall rules of this
-# machine.
+# connect(2) and epoll_ctl(2) fail at once with these errors because of the memory, ports, routes or firewall
+# rules of this machine.
 _LOCAL_ERRORS = TRANSIENT_ERRORS | {
     errno.EACCES,
     errno.EADDRINUSE,
@@ -82,7 +82,7 @@
     errno.ENOSPC,
     errno.EPERM,
 }
-# Errors by which an established connection turns out to be broken.
+# A read or write fails with one of these errors if the established connection is broken.
 _BROKEN_CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -95,7 +95,7 @@
 )
 
 
-# With these, a connection ended without this router's doing: the peer's process or machine may have gone.
+# These reasons lie outside this router: the peer's process or machine may have terminated.
 _CONNECTION_LOSSES = frozenset(
     {
         CloseReason.CONNECTION_REFUSED,
@@ -109,23 +109,23 @@
 
 
 def is_connection_loss(reason: CloseReason) -> bool:
-    """Whether a connection ended without this router's doing."""
+    """Return whether a connection was lost: the peer or the network ended it, or it fell silent."""
     return reason in _CONNECTION_LOSSES
 
 
 def outcome_of(reason: CloseReason, *, is_started: bool) -> Outcome:
-    """The outcome of an attempt or start order that ended without an answer.
+    """Return the outcome of an exchange that ended without an answer.
 
     Args:
-        reason: Why it ended.
-        is_started: Whether some of it was written.
+        reason: Why the exchange ended.
+        is_started: Whether some bytes of the exchange were written.
     """
     outcomes = OUTCOMES[reason]
     return outcomes.if_started if is_started else outcomes.if_not_started
 
 
 def reason_of_local_error(error: OSError) -> CloseReason:
-    """The close reason of a connection for which a system call on this machine failed at once."""
+    """Return the close reason of a connection for which a system call on this machine failed at once."""
     if error.errno in _DESCRIPTOR_LIMIT_ERRORS:
         return CloseReason.NO_FILE_DESCRIPTOR
     if error.errno in _LOCAL_ERRORS:
@@ -134,7 +134,7 @@
 
 
 def reason_of_connect_error(error: OSError) -> CloseReason:
-    """The close reason of a connect that began and then failed."""
+    """Return the close reason of a connect that was in progress when it failed."""
     if error.errno == errno.ECONNREFUSED:
         return CloseReason.CONNECTION_REFUSED
     if error.errno in (errno.ECONNRESET, errno.ECONNABORTED):
@@ -143,7 +143,7 @@
 
 
 def reason_of_broken_connection(error: OSError) -> CloseReason:
-    """The close reason of an established connection on which a read or a write failed."""
+    """Return the close reason of an established connection on which a read or a write failed."""
     if error.errno in _BROKEN_CONNECTION_ERRORS:
         return CloseReason.RESET_BY_PEER
     return CloseReason.LOCAL_FAILURE
--- a/function_router/net/connect_retry.py
+++ b/function_router/net/connect_retry.py
@@ -1,4 +1,4 @@
-"""Retries of connects that fail on this machine, which says nothing about the worker."""
+"""Retries of connects that fail for a local reason, which says nothing about the worker."""
 
 from collections.abc import Callable
 
@@ -6,9 +6,10 @@
 from function_router.net.close_reason import CloseReason
 from function_router.net.timer_wheel import Timer, TimerWheel
 
-# Between retries: descriptors, ports or memory that this machine lacked may be free again by then.
+# Retries are this far apart: file descriptors, ports or memory may be available again by then.
 RETRY_INTERVAL_MS = 20.0
-# After this time the queued exchanges are reported as not sent: the decisions may send them elsewhere.
+# Retries end after this time, and the queued exchanges are reported as not sent: the decision module may then
+# send them to other workers.
 MAX_RETRY_MS = 200.0
 
 _LOCAL_FAILURES = (
@@ -19,31 +20,31 @@
 
 
 class ConnectRetry:
-    """Decides whether a failed connect to one worker is retried, and has a timer for the next time."""
+    """Decides whether a failed connect to one worker is retried, and schedules the retry."""
 
     __slots__ = ("_failing_since_ms", "_timer", "_timers")
 
     def __init__(self, timers: TimerWheel) -> None:
-        """No connect has failed yet."""
+        """Create the state of a worker to which no connect has failed; `timers` schedules the retries."""
         self._timers = timers
-        self._failing_since_ms: float | None = None  # connects have failed on this machine since then
+        self._failing_since_ms: float | None = None  # since when all connects have failed for local reasons
         self._timer: Timer | None = None
 
     @property
     def is_scheduled(self) -> bool:
-        """Whether connects are to wait for the next retry."""
+        """Return whether a retry is scheduled; other connects wait for it."""
         return self._timer is not None
 
     def schedule_after(self, reason: CloseReason, on_retry: Callable[[], None]) -> bool:
-        """Schedule a retry after a failed connect, unless one is scheduled.
+        """Schedule a retry after a failed connect, unless a retry is scheduled already.
 
         Args:
             reason: Why the connect failed.
             on_retry: Called when it is time to connect again.
 
         Returns:
-            False if there will be no retry: the cause isn't on this machine, or connects have failed for too
-            long.
+            Whether there will be a retry. There is none if the cause isn't on this machine, or if connects
+            have failed for too long.
         """
         if reason not in _LOCAL_FAILURES:
             return False
@@ -58,7 +59,7 @@
         return True
 
     def on_connected(self) -> None:
-        """A connection was established: the next failure is the first one again."""
+        """Reset the time limit of retries, as a connection was established."""
         self._failing_since_ms = None
 
     def _on_timer(self, on_retry: Callable[[], None]) -> None:
--- a/function_router/net/connection_activity.py
+++ b/function_router/net/connection_activity.py
@@ -1,56 +1,59 @@
-"""Since when a connection to a worker has been in use, idle or silent."""
+"""Tracking of how long a connection to a worker has been active, idle or silent."""
 
 from function_router.net.clock import monotonic_ms
 from function_router.net.connection import Connection
 
-# A connection on which answers are outstanding and nothing was received for this long gets no new exchange.
+# A connection gets no new exchange if answers are outstanding and nothing was received for this long.
 UNRESPONSIVE_AFTER_MS = 1_000.0
-# A connection that breaks so soon after it was used again was stale; it isn't the exchange that broke it.
+# If a connection breaks within this time after it became active, it was stale: the exchange isn't the cause.
 STALE_RESET_MS = 20.0
 
 
 class ConnectionActivity:
-    """When a connection was last used and for what, by which it is known to be idle, silent or stale.
+    """Tracks the use of a connection, to tell whether the connection is idle, silent or stale.
 
-    It is in use while exchanges are in flight on it, and idle otherwise. It has been silent since it was last
-    received on or went from idle to in use.
+    A connection is active while exchanges are in flight on it, and idle otherwise. Its silence lasts since
+    the last bytes were received or since it last became active, whichever is later.
 
     Attributes:
-        idle_before_use_ms: For how long it had been idle when it was last used again.
+        idle_before_use_ms: How long the connection had been idle when it last became active.
     """
 
     __slots__ = ("_active_since_ms", "_connection", "_last_removed_ms", "idle_before_use_ms")
 
     def __init__(self, connection: Connection) -> None:
-        """Observe a TCP connection that was not used yet."""
+        """Track a TCP connection that has not been used yet."""
         self.idle_before_use_ms = 0.0
         self._connection = connection
         self._active_since_ms = 0.0
         self._last_removed_ms = 0.0  # when an exchange that the worker may have received was last removed
 
     def on_active(self) -> None:
-        """It goes from idle to in use."""
+        """Record that the connection goes from idle to active."""
         self.idle_before_use_ms = self.idle_ms()
         self._active_since_ms = monotonic_ms()
 
     def on_exchange_removed(self) -> None:
-        """An exchange that the worker may have received was removed without an answer."""
+        """Record the removal, without an answer, of an exchange that the worker may have received."""
         self._last_removed_ms = monotonic_ms()
 
     def idle_ms(self) -> float:
-        """For how long it has been idle, if it is."""
+        """Return how long the connection has been idle; valid only while the connection is idle."""
         return monotonic_ms() - self._connection.last_used_ms
 
     def is_silent(self) -> bool:
-        """Whether it has been silent for too long, if it is in use."""
+        """Return whether the connection has been silent for too long; valid only while it is active."""
         return monotonic_ms() - self._silent_since_ms() > UNRESPONSIVE_AFTER_MS
 
     def was_silent_until_removal(self) -> bool:
-        """Whether it had been silent for too long when an exchange was last removed, and is silent still."""
+        """Return whether the connection was silent for too long at the last removal of an exchange.
+
+        Bytes that were received after the removal end the silence, so that the result is False.
+        """
         return self._last_removed_ms - self._silent_since_ms() > UNRESPONSIVE_AFTER_MS
 
     def is_newly_active(self) -> bool:
-        """Whether it went from idle to in use so recently that a close now shows that it was stale."""
+        """Return whether the connection became active so recently that a close now shows it was stale."""
         return monotonic_ms() - self._active_since_ms < STALE_RESET_MS
 
     def _silent_since_ms(self) -> float:
--- a/function_router/net/connection_budget.py
+++ b/function_router/net/connection_budget.py
@@ -1,26 +1,26 @@
-"""How many connections to workers a router may have, all workers together."""
+"""The limit on a router's connections to all workers together."""
 
 from collections.abc import Callable
 
 from function_router.net.close_reason import CloseReason
 from function_router.net.worker_connection import WorkerConnection
 
-# Spare connections are opened only within this share of the budget: the rest is kept for exchanges that find
-# no connection.
+# Spare connections are opened only within this share of the budget; the rest is reserved for exchanges for
+# which no connection is available.
 SPARE_CONNECTION_SHARE = 0.7
 
 
 class ConnectionBudget:
-    """Counts the connections to all workers, and makes room for another one where it can.
+    """Counts the connections to all workers, and closes idle ones if the budget is used up.
 
     Attributes:
-        connection_count: How many are open or being established.
+        connection_count: The number of connections that are open or being established.
     """
 
     __slots__ = ("_all_connections", "_max_connections", "connection_count")
 
     def __init__(self, max_connections: int, all_connections: Callable[[], list[WorkerConnection]]) -> None:
-        """Allow `max_connections`; `all_connections` lists those that there are."""
+        """Allow `max_connections` connections; `all_connections` returns the existing ones."""
         self.connection_count = 0
         self._max_connections = max_connections
         self._all_connections = all_connections
@@ -34,14 +34,14 @@
         self.connection_count -= 1
 
     def allows_spare_connection(self) -> bool:
-        """Whether one more connection may be opened that nothing needs yet."""
+        """Return whether a spare connection, which no exchange needs yet, may be opened."""
         return self.connection_count < SPARE_CONNECTION_SHARE * self._max_connections
 
     def ensure_capacity(self) -> bool:
-        """Make sure that one more connection may be opened; False if that is impossible.
+        """Ensure that one more connection may be opened, and return whether that succeeded.
 
-        Where the budget is used up, the connection that has been idle for longest is closed. With more
-        workers than connections, the workers that were sent to first would otherwise keep all of them.
+        If the budget is used up, the connection that has been idle for longest is closed. Otherwise, with
+        more workers than connections, the first workers that get exchanges would keep all connections.
         """
         if self.connection_count < self._max_connections:
             return True
--- a/function_router/net/connection_set.py
+++ b/function_router/net/connection_set.py
@@ -1,4 +1,4 @@
-"""The connections to one worker: opening them within the limits, and the choice among them."""
+"""The connections to one worker, which are opened within limits and chosen for each exchange."""
 
 import contextlib
 from collections.abc import Iterator
@@ -10,28 +10,27 @@
 from function_router.net.worker_connection import ConnectError, WorkerConnection, WorkerConnectionOwner
 from function_router.net.worker_messages import Exchange, HealthCheck
 
-# Connections to one worker, without retired ones.
+# The maximum number of connections to one worker, not counting retired ones.
 MAX_CONNECTIONS = 6
-# While all of fewer connections are in use, a spare one is opened, so that exchanges rarely share one: a
-# broken connection ends all exchanges on it.
+# While all connections are in use and fewer than this many exist, a spare one is opened. Exchanges then
+# rarely share a connection: a broken connection ends all exchanges on it.
 CONNECTIONS_BEFORE_SHARING = 4
 
 
 class ConnectionSet:
     """Opens and owns the connections to one worker, and chooses among them.
 
-    A connection to an earlier process of the worker is retired: it stays until its exchanges are finished,
-    gets no new ones and doesn't count towards the limits of the worker.
+    A connection to an earlier process of the worker is retired: it stays open until its exchanges are
+    finished, gets no new exchange and doesn't count towards the worker's limit of connections.
 
     Attributes:
-        last_lost_ms: When a connection last ended without this router's doing, on the monotonic clock; None
-            if none has.
+        last_lost_ms: When a connection was last lost, on the monotonic clock; None if none was.
     """
 
     __slots__ = ("_connections", "_resources", "last_lost_ms")
 
     def __init__(self, resources: PoolResources) -> None:
-        """An empty set; `resources` has the limits."""
+        """Create an empty set; `resources` has the limits on connections of the pool."""
         self._resources = resources
         self._connections: list[WorkerConnection] = []
         self.last_lost_ms: float | None = None
@@ -45,13 +44,13 @@
     # --- choosing -----------------------------------------------------------------------------
 
     def choose(self, exchange: Exchange, latest_connection_ms: float) -> WorkerConnection | None:
-        """The connection to use for an exchange; None if none may be used.
+        """Choose the connection for an exchange; return None if no connection may be used.
 
-        Connections that were established after `latest_connection_ms`, on the monotonic clock, are left out.
+        Connections that were established after `latest_connection_ms`, on the monotonic clock, are excluded.
 
-        An idle connection that the worker has closed is closed here, too, in place of being used: what would
-        be written to it would be lost, but as it might have run, a request that must not run twice could not
-        be sent again.
+        An idle connection that the worker has closed is closed here instead of being used. Bytes written to
+        it would be lost. But as the request might have run, it could not be sent again if it must not run
+        twice.
         """
         while (chosen := self._best_connection(exchange, latest_connection_ms)) is not None:
             if chosen.exchanges or not chosen.has_reached_end_of_stream():
@@ -60,9 +59,9 @@
         return None
 
     def _best_connection(self, exchange: Exchange, latest_connection_ms: float) -> WorkerConnection | None:
-        """The usable connection with the fewest exchanges, if possible a responsive one.
+        """Return the usable connection with the fewest exchanges, if possible a responsive one.
 
-        For a health check it is the oldest one, as that shows best whether the process is still the same.
+        A health check gets the oldest connection, which shows best whether the process is still the same.
         """
         candidates = [
             connection
@@ -71,8 +70,8 @@
         ]
         if isinstance(exchange, HealthCheck):
             return min(candidates, key=lambda connection: connection.established_at_ms, default=None)
-        # Of those with equally few exchanges the one used last: one that has been idle for long may soon be
-        # closed.
+        # Among connections with equally few exchanges, the most recently used one is chosen: the others have
+        # been idle for longer and may be closed soon.
         return min(
             candidates,
             key=lambda connection: (len(connection.exchanges), -connection.connection.last_used_ms),
@@ -80,7 +79,10 @@
         )
 
     def _usable_connections(self, exchange_id: bytes) -> list[WorkerConnection]:
-        """The connections that may carry an exchange with this id, if possible responsive ones."""
+        """Return the connections that may carry an exchange with this id, if possible responsive ones.
+
+        Unresponsive connections are included only if no responsive one is usable and no more may be opened.
+        """
         max_idle_ms = self._resources.idle_limit.limit_ms
         usable = [
             connection
@@ -96,13 +98,13 @@
     # --- opening ------------------------------------------------------------------------------
 
     def open(self, owner: WorkerConnectionOwner) -> None:
-        """Open a connection, at the cost of an idle one to another worker if there are too many.
+        """Open a connection; if the budget is used up, close an idle connection, possibly of another worker.
 
         Args:
-            owner: The worker to connect to, which is notified.
+            owner: The worker to connect to, which is notified when the connection is established or closed.
 
         Raises:
-            ConnectError: The limits allow no other connection, or connecting failed at once.
+            ConnectError: The limits allow no more connections, or the connect failed at once.
         """
         if (
             len(self._current_connections()) >= MAX_CONNECTIONS
@@ -112,19 +114,19 @@
         self._open_unchecked(owner)
 
     def open_spare_if_needed(self, owner: WorkerConnectionOwner) -> None:
-        """Open a connection for the next exchange if that would have to share one, as far as limits allow."""
+        """Open a spare connection if the next exchange would have to share one and the limits allow it."""
         if self._needs_spare_connection() and self._resources.budget.allows_spare_connection():
-            with contextlib.suppress(ConnectError):  # nothing needs it yet
+            with contextlib.suppress(ConnectError):  # no exchange needs the connection yet
                 self._open_unchecked(owner)
 
     def connecting_count(self) -> int:
-        """How many connections to the present process of the worker are not established yet."""
+        """Return how many connections to the present process of the worker are not established yet."""
         return sum(not connection.is_connected for connection in self._current_connections())
 
     def _needs_spare_connection(self) -> bool:
-        """Whether all connections are established and in use, and few enough for another one.
+        """Return whether all connections are established and in use, and few enough to open another.
 
-        A health check doesn't count: it is over at once, and must not cause a connection.
+        Health checks don't count as use: they finish at once, and must not cause a connection to be opened.
         """
         current = self._current_connections()
         return len(current) < CONNECTIONS_BEFORE_SHARING and all(
@@ -141,18 +143,18 @@
         resources.telemetry.count(CONNECTS)
 
     def _current_connections(self) -> list[WorkerConnection]:
-        """The connections to the present process of the worker."""
+        """Return the connections to the present process of the worker."""
         return [connection for connection in self._connections if not connection.is_retired]
 
     # --- ending -------------------------------------------------------------------------------
 
     def retire_all(self) -> None:
-        """Retire the connections, as the worker has moved, restarted or been removed."""
+        """Retire all connections, as the worker has moved, restarted or been removed."""
         for connection in list(self._connections):
             connection.retire()
 
     def discard(self, connection: WorkerConnection, reason: CloseReason) -> None:
-        """Forget a connection that was closed for this reason; its exchanges have to be on it still."""
+        """Remove a closed connection, whose exchanges must not have been taken off yet."""
         resources = self._resources
         self._connections.remove(connection)
         resources.budget.on_closed()
@@ -164,10 +166,10 @@
             resources.idle_limit.on_stale_connection(idle_ms)
 
     def unwritten_exchanges(self) -> list[Exchange]:
-        """The exchanges on the connections of which nothing has been written."""
+        """Return the exchanges on all connections of which no byte has been written."""
         return [exchange for connection in self._connections for exchange in connection.unwritten()]
 
 
 def _is_in_use(connection: WorkerConnection) -> bool:
-    """Whether a connection carries anything but health checks."""
+    """Return whether a connection carries any exchange other than health checks."""
     return any(not isinstance(exchange, HealthCheck) for exchange in connection.exchanges.values())
--- a/function_router/net/endpoint_list_status.py
+++ b/function_router/net/endpoint_list_status.py
@@ -1,4 +1,4 @@
-"""Tells the decisions when the endpoint list was confirmed, and logs whether they believe it."""
+"""Reports to the decision module on whether the endpoint list is current, and logs changes of that."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 class EndpointListStatus:
-    """Reports confirmations of the list to the decisions; logs when it is out of date or current again."""
+    """Reports confirmations of the endpoint list, and logs when it goes out of date or is current again."""
 
     def __init__(
         self,
@@ -19,13 +19,13 @@
         read_last_sequence: Callable[[], int],
         log: Callable[[str], None],
     ) -> None:
-        """Report to `router`.
+        """Create the status of a list that counts as current until the first check.
 
         Args:
-            router: Decides whether the list may be believed.
-            loop: Takes the events for it.
-            start_times: Have to know when the list was confirmed, too.
-            read_last_sequence: The sequence number of the last event that was applied.
+            router: The decision module, which decides whether the list is current.
+            loop: The event loop, to which events for the decision module are submitted.
+            start_times: The converter of start times, which also has to know when the list was confirmed.
+            read_last_sequence: Returns the sequence number of the last event that was applied.
             log: Called with the text of a log line.
         """
         self._router = router
@@ -39,19 +39,19 @@
     def on_confirmed(self) -> None:
         """Report that all events of the log have been received.
 
-        The announcement was not there yet at the poll before the last one, but may have been right after it:
-        the process may have been suspended.
+        The list counts as confirmed as of the poll before the last one. The announcement had not arrived by
+        that poll, but may have arrived right after it, as the process may have been suspended since then.
         """
         self._start_times.on_caught_up()
         self._confirmed_at_ms = self._loop.clock.from_monotonic_ms(self._loop.previous_poll_ms)
         self._loop.submit(EndpointListConfirmed(self._confirmed_at_ms))
 
     def on_interrupted(self) -> None:
-        """Report that the log is not being followed."""
+        """Report that the router does not follow the log at present."""
         self._loop.submit(EndpointListInterrupted())
 
     def check(self) -> None:
-        """Log if the list went out of date, or is current again, since the last check."""
+        """Log whether the list has gone out of date, or is current again, since the last check."""
         now_ms = self._loop.clock.now_ms()
         is_stale = not self._router.is_endpoint_list_current(now_ms)
         if is_stale is self._is_stale:
--- a/function_router/net/endpoint_messages.py
+++ b/function_router/net/endpoint_messages.py
@@ -1,4 +1,4 @@
-"""The messages of the endpoint log: one line of JSON each, an event or an announcement."""
+"""The messages of the endpoint log; each is a line of JSON with an event or an announcement."""
 
 import msgspec
 from msgspec import Struct
@@ -10,24 +10,24 @@
 
 
 class SequenceAnnouncement(Struct, frozen=True):
-    """The sequence number of the last event in the log. The log repeats it as its heartbeat.
+    """An announcement of the sequence number of the last event in the log, which is also the heartbeat.
 
-    On a line, it is the number by itself or an object that has nothing but the number.
+    The line has only the number, or an object with the number and no endpoint list.
     """
 
     sequence: int
 
 
 class EndpointEvent(Struct, frozen=True):
-    """An event of the endpoint log. Its endpoint list is validated only when it is applied."""
+    """An event of the endpoint log; its endpoint list is validated only when the event is applied."""
 
     sequence: int
-    has_endpoints: bool  # an initial event without endpoints only takes a sequence number
-    endpoints: object = None  # as decoded from JSON
+    has_endpoints: bool  # an initial event without endpoints only has a sequence number
+    endpoints: object = None  # the endpoint list as decoded from JSON
 
     @classmethod
     def from_json(cls, decoded: object) -> "EndpointEvent | None":
-        """The event in decoded JSON; None where that is not an event."""
+        """Return the event in decoded JSON; None if the JSON is not an event."""
         if not isinstance(decoded, dict):
             return None
         sequence = _sequence_number(decoded.get(SEQUENCE_FIELD))
@@ -37,7 +37,7 @@
 
     @property
     def is_snapshot(self) -> bool:
-        """Whether it has the complete list, which replaces all events before it."""
+        """Return whether the event has the complete list, which replaces all earlier events."""
         endpoints = self.endpoints
         if not isinstance(endpoints, dict):
             return False
@@ -45,7 +45,7 @@
 
 
 def parse_line(line: bytes) -> SequenceAnnouncement | EndpointEvent | None:
-    """The message on a line; None where the line is invalid."""
+    """Return the message on a line; None if the line is invalid."""
     try:
         decoded: object = msgspec.json.decode(line)
     except (msgspec.DecodeError, RecursionError):
--- a/function_router/net/endpoint_registry.py
+++ b/function_router/net/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoint list as last received: ids, addresses and states of the workers."""
+"""The registry of the endpoints that the router has received, with ids, addresses and states of workers."""
 
 from collections.abc import Callable
 
@@ -12,11 +12,11 @@
 from function_router.net.start_times import StartTimes
 from function_router.net.worker_pool import WorkerPool
 
-# Bytes of a worker id: enough for the ids in one list to differ.
+# A worker id of this size is sufficient for the ids in one list to differ.
 WORKER_ID_BYTES = 4
-# These log lines have a rate limit of their own.
+# The log limits the rate of its lines per source; log lines about endpoints are a source of their own.
 LOG_SOURCE = "endpoints"
-# The key of the address in an endpoint record, for error messages.
+# Error messages name this key, which has the address in an endpoint record.
 ADDRESS_FIELD = "host_port"
 
 _STATES_BY_PHASE = {
@@ -27,25 +27,26 @@
 
 
 def worker_id_of(name: str) -> int:
-    """The id of the worker with this name. It is the same in every router, as rendezvous hashing needs."""
+    """Return the id of the worker with this name; rendezvous hashing needs the same id in all routers."""
     return hash_name(name, WORKER_ID_BYTES)
 
 
 class AddressedEndpoint(Struct, frozen=True):
-    """An endpoint as the list has it, and its address, which only the network needs.
+    """An endpoint of the list with its address, which only the network code needs.
 
-    Its start time is Unix time. The decisions get a copy with the time on their own clock.
+    The start time of the endpoint is in Unix time. The decision module gets a copy with the time on its own
+    clock.
     """
 
     endpoint: Endpoint
-    address: Address | None  # None: not in the record; an earlier one stays valid
+    address: Address | None  # None if the record has no address; an earlier address then stays valid
 
     @classmethod
     def from_record(cls, record: EndpointRecord) -> "AddressedEndpoint":
         """Convert a record of the endpoint list.
 
         Raises:
-            ConfigurationError: The record's address is not a numeric one with a port.
+            ConfigurationError: The record's address is not a numeric address with a port.
         """
         address = parse_address(record.host_port, ADDRESS_FIELD) if record.host_port else None
         endpoint = Endpoint(
@@ -65,7 +66,7 @@
 
 
 class EndpointRegistry:
-    """Keeps the endpoint list, and passes its changes on to the worker pool and the decisions."""
+    """Keeps the endpoint list, and passes its changes on to the worker pool and the decision module."""
 
     def __init__(
         self,
@@ -74,26 +75,26 @@
         start_times: StartTimes,
         log: Callable[[str, str], None],
     ) -> None:
-        """Start with an empty list.
+        """Create a registry with an empty list.
 
         Args:
-            pool: the worker pool, which is updated directly.
-            on_changed: called with the changes for the decisions.
-            start_times: converts start times to the clock of the decisions.
-            log: called with the text of a log line and its source.
+            pool: The worker pool, which is updated directly.
+            on_changed: Called with the changes for the decision module.
+            start_times: Converts start times to the clock of the decision module.
+            log: Called with the text of a log line and its source.
         """
         self._pool = pool
         self._on_changed = on_changed
         self._start_times = start_times
         self._log = log
         self._has_received_list = False  # the first list is not logged
-        self._endpoints: dict[int, Endpoint] = {}  # by worker id, without the removed ones
+        self._endpoints: dict[int, Endpoint] = {}  # by worker id, without removed workers
 
     def apply(self, endpoint_list: EndpointList) -> None:
         """Apply a complete list or a list of changed endpoints.
 
         Raises:
-            ConfigurationError: The list has an invalid address; none of it is applied.
+            ConfigurationError: The list has an invalid address; no part of the list is applied.
         """
         received = [AddressedEndpoint.from_record(record) for record in endpoint_list.members]
         if endpoint_list.complete:
@@ -114,7 +115,7 @@
         self._on_changed(EndpointsChanged(converted, endpoint_list.complete))
 
     def _convert_start_time(self, endpoint: Endpoint, *, is_live_update: bool) -> Endpoint:
-        """The endpoint with its start time on the clock of the decisions."""
+        """Return a copy of the endpoint with its start time on the clock of the decision module."""
         worker_id = endpoint.worker_id
         started_at_ms = self._start_times.convert(
             worker_id, endpoint.started_at_ms, is_live_update=is_live_update
@@ -130,11 +131,11 @@
         }
 
     def _update(self, item: AddressedEndpoint) -> list[Endpoint]:
-        """Store an endpoint and return all that changed: first those that it displaces at its address.
+        """Store an endpoint, and return the changed endpoints; those replaced at the same address come first.
 
-        Of several workers at one address, only the one started last still runs; the list may report the
-        others as removed later. Requests for an earlier process must not reach the new one, which has no
-        warm instances.
+        Of several workers at one address, only the worker that started last still runs; the list may report
+        the removal of the others later. Requests for an earlier process must not reach the new one, which has
+        no warm instances.
         """
         endpoint = item.endpoint
         displaced = self._others_at_address(item)
@@ -151,7 +152,7 @@
         return [*removed, endpoint]
 
     def _store(self, endpoint: Endpoint) -> None:
-        """Store an endpoint, and log it where its state or its process has changed."""
+        """Store an endpoint, and log a change of its state or its process."""
         previous = self._endpoints.get(endpoint.worker_id)
         self._endpoints[endpoint.worker_id] = endpoint
         is_unchanged = (
@@ -164,7 +165,7 @@
             self._log(f"worker {endpoint.worker_id} is {endpoint.state.name}{started}", LOG_SOURCE)
 
     def _others_at_address(self, item: AddressedEndpoint) -> list[Endpoint]:
-        """The other workers at the endpoint's address, if it is ready."""
+        """Return the other workers at the endpoint's address; none if the endpoint is not ready."""
         if item.endpoint.state is not WorkerState.READY or item.address is None:
             return []
         return [
--- a/function_router/net/endpoint_watch.py
+++ b/function_router/net/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint log: applies its numbered events in order, and requests again what is missing."""
+"""The watch on the endpoint log, which applies events in order and requests missing events again."""
 
 from collections.abc import Callable, Iterable
 
@@ -14,27 +14,29 @@
 from function_router.net.event_loop import EventLoop
 from function_router.net.sequence_tracker import InvalidLineResponse, SequenceTracker, SyncState
 
-# An invalid line or event is quoted in log lines and errors up to these lengths.
+# Log lines and error messages quote an invalid line or event up to these lengths.
 MAX_QUOTED_LINE_BYTES = 80
 MAX_QUOTED_EVENT = 80
 
 
 class EndpointWatch:
-    """Follows the endpoint log: each event is applied once and in order.
+    """Follows the endpoint log, and applies each event once and in order.
 
-    Missing events are requested again until they come. An invalid line, or an event ahead of a gap, is
-    requested again once and then skipped. It owns the connection to the log (`client`) and the position in
-    it.
+    Missing events are requested again until they arrive. An invalid line, or an event ahead of a gap, is
+    requested again once and then skipped. The watch owns the client of the log and the position in the log.
 
     Args:
-        loop: the event loop.
-        address: where the log listens.
-        on_endpoints: called with the endpoint list of each event; a ConfigurationError that it raises
-            makes the event invalid.
-        on_caught_up: called when the log announces that all its events have been applied or skipped, and
-            is in time.
-        on_interrupted: called when the log is not followed any more, or not yet.
-        log: called with the text of a log line.
+        loop: The event loop.
+        address: The address on which the log listens.
+        on_endpoints: Called with the endpoint list of each event; a ConfigurationError that the callback
+            raises makes the event invalid.
+        on_caught_up: Called when an announcement that is not delayed shows that all events of the log have
+            been applied or skipped.
+        on_interrupted: Called when the watch does not follow the log any more, or not yet.
+        log: Called with the text of a log line.
+
+    Attributes:
+        client: The client of the endpoint log, which has the connection.
     """
 
     def __init__(
@@ -46,7 +48,7 @@
         on_interrupted: Callable[[], None],
         log: Callable[[str], None],
     ) -> None:
-        """Follow the log at `address` from its first event, or from where `apply_initial_events` ends."""
+        """Create a watch on the log at `address`, from the first event or after `apply_initial_events`."""
         self._on_endpoints = on_endpoints
         self._on_caught_up = on_caught_up
         self._log = log
@@ -57,13 +59,13 @@
 
     @property
     def last_sequence(self) -> int:
-        """The sequence number of the last event that was applied."""
+        """Return the sequence number of the last event that was applied."""
         return self._tracker.last_sequence
 
     def apply_initial_events(self, events: Iterable[object], last_sequence: int) -> None:
-        """Apply the events that the configuration has, and count all up to `last_sequence` as applied.
+        """Apply the events in the configuration, and mark all events up to `last_sequence` as applied.
 
-        Sequence numbers may be missing between these events.
+        The sequence numbers of these events may have gaps.
 
         Raises:
             ConfigurationError: An event is invalid.
@@ -76,7 +78,7 @@
         self._tracker.advance_to(last_sequence)
 
     def move_to(self, address: Address) -> None:
-        """Follow the log at another address from the current position: the sequence numbers are the same."""
+        """Follow the log at another address from the current position; the sequence numbers stay valid."""
         self._tracker.reset_requests()
         self.client.move_to(address)
 
@@ -94,7 +96,7 @@
         may_repeat_request = self.client.may_repeat_request
         state = self._tracker.record_announcement(sequence, may_repeat_request=may_repeat_request)
         if state is SyncState.SNAPSHOT_REVOKED:
-            self.client.request_again(f"its last event is {sequence}, before the snapshot that it sent")
+            self.client.request_again(f"last event {sequence} precedes the received snapshot")
         elif state is SyncState.CAUGHT_UP:
             if not self.client.is_delayed:
                 self._on_caught_up()
@@ -102,12 +104,13 @@
             self.client.request_again(f"events up to {sequence} are missing")
 
     def _on_invalid_line(self, event: EndpointEvent | None, line: bytes) -> None:
-        """Request the next event again, or skip it where that has been tried.
+        """Request the next event again, or skip it if it was already requested again.
 
-        After a skip, an event ahead of the gap is applied. Those in the gap still are if they come later.
+        After the skip of a gap, the event ahead of the gap is applied. Events in the gap are still applied if
+        they arrive later.
         """
         if self._tracker.record_invalid_line() is InvalidLineResponse.REQUEST_AGAIN:
-            self.client.request_again(f"not the next event: {line[:MAX_QUOTED_LINE_BYTES]!r}")
+            self.client.request_again(f"invalid or unexpected line: {line[:MAX_QUOTED_LINE_BYTES]!r}")
             return
         skipped_through = self._tracker.position + 1
         is_unreadable = event is None or event.sequence < skipped_through or not self._deliver(event)
@@ -119,9 +122,9 @@
     # --- events ---------------------------------------------------------------------------------
 
     def _try_apply(self, event: EndpointEvent, *, is_initial: bool = False) -> bool:
-        """Apply an event; return False where it is invalid or out of order.
+        """Apply an event, and return False if the event is invalid or out of order.
 
-        An event that was applied before changes nothing. A snapshot may come ahead of a gap, and so may any
+        An event that was applied before is ignored. A snapshot may be applied ahead of a gap, and so may any
         initial event.
         """
         if self._tracker.is_applied(event.sequence):
@@ -138,7 +141,7 @@
         return True
 
     def _deliver(self, event: EndpointEvent) -> bool:
-        """Pass on the event's endpoint list; return False where that is invalid."""
+        """Pass on the event's endpoint list, and return False if the list is invalid."""
         try:
             if event.has_endpoints:
                 self._on_endpoints(parse_endpoint_list(event.endpoints))
--- a/function_router/net/exchange_queue.py
+++ b/function_router/net/exchange_queue.py
@@ -1,4 +1,4 @@
-"""The exchanges that are queued for a connection to one worker."""
+"""The queue of exchanges that wait for a connection to one worker."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 class ExchangeQueue:
     """Exchanges that wait for a connection to one worker, in the order in which they were queued.
 
-    It is the `ExchangeHolder` of each.
+    The queue is the `ExchangeHolder` of its exchanges.
     """
 
     __slots__ = ("_exchanges",)
@@ -24,20 +24,20 @@
         return iter(self._exchanges)
 
     def append(self, exchange: Exchange) -> None:
-        """Queue an exchange behind all others."""
+        """Add an exchange at the end of the queue."""
         exchange.holder = self
         self._exchanges.append(exchange)
 
     def remove(self, exchange: Exchange) -> None:
-        """Take out an exchange, unless `take_all` took it."""
+        """Remove an exchange, unless `take_all` has removed it already."""
         if exchange in self._exchanges:
             self._exchanges.remove(exchange)
 
     def take_all(self) -> deque[Exchange]:
-        """Take out all exchanges, which the caller dispatches or finishes."""
+        """Remove and return all exchanges; the caller dispatches or finishes them."""
         exchanges = self._exchanges
         self._exchanges = deque()
         return exchanges
 
     def on_exchange_finished(self) -> None:
-        """Nothing depends on the end of a queued exchange."""
+        """Do nothing, as no state of the queue depends on the end of an exchange."""
--- a/function_router/net/health_checks.py
+++ b/function_router/net/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: from the decision to ask a worker whether it is ready to the report of its answer."""
+"""Sending of the health checks that the decision module requests, and reports of their results."""
 
 from collections.abc import Callable
 
@@ -22,10 +22,10 @@
         add_trace_step: Callable[[str, str], None],
         telemetry: Telemetry,
     ) -> None:
-        """Ask the workers of `pool`.
+        """Create a sender of health checks to the workers of `pool`.
 
         Args:
-            loop: Its clock is the one of the decision module; results are submitted to it.
+            loop: The event loop, which has the clock of the decision module and takes the results.
             pool: The workers.
             add_trace_step: Called with a function and a text for each health check and each result.
             telemetry: Counts the results.
--- a/function_router/net/idle_limit.py
+++ b/function_router/net/idle_limit.py
@@ -1,39 +1,39 @@
-"""How long a connection may have been idle and still be used."""
+"""The limit on the idle time after which a connection is not used again."""
 
-# Of the workers' keep-alive time: the router closes an idle connection before the worker does, so that
-# nothing is sent on a connection that is being closed.
+# The highest limit as a share of the workers' keep-alive time: the router closes an idle connection before
+# the worker does, so that nothing is sent on a connection that is being closed.
 KEEPALIVE_SHARE = 0.7
-# The limit never falls below this: hardly any connection would be used twice then.
+# The limit never falls below this value; with a lower one, hardly any connection would be reused.
 MIN_LIMIT_MS = 50.0
-# Of the idle time after which a connection turned out to be stale.
+# After a stale connection was found, the limit is this share of the connection's idle time.
 STALE_IDLE_SHARE = 0.7
-# At each periodic check, four times a second: a lowered limit doubles in about 9 s.
+# The limit is multiplied by this factor at each periodic check, four times a second: it doubles in about 9 s.
 GROWTH_FACTOR = 1.02
 
 
 class IdleLimit:
-    """The idle time up to which a connection is trusted to still work.
+    """The idle time up to which connections are used again.
 
-    Something on the way, such as a firewall, may drop connections that were idle for far less than the
-    keep-alive time. A stale connection lowers the limit below its idle time; the limit grows again while no
-    other stale connection is found.
+    A middlebox, such as a firewall, may drop connections that were idle for far less than the keep-alive
+    time. A stale connection lowers the limit below its idle time; the limit grows again while no other stale
+    connection is found.
 
     Attributes:
-        limit_ms: The limit now.
+        limit_ms: The present limit.
     """
 
     __slots__ = ("_max_limit_ms", "limit_ms")
 
     def __init__(self, keepalive_ms: float) -> None:
-        """Start at the highest limit; `keepalive_ms` is for how long workers keep an idle connection."""
+        """Start at the highest limit; `keepalive_ms` is how long workers keep an idle connection open."""
         self._max_limit_ms = max(MIN_LIMIT_MS, KEEPALIVE_SHARE * keepalive_ms)
         self.limit_ms = self._max_limit_ms
 
     def on_stale_connection(self, idle_ms: float) -> None:
-        """Lower the limit after a connection that was idle for so long was stale when it was used again."""
+        """Lower the limit, as a connection that had been idle for `idle_ms` was stale when used again."""
         if idle_ms >= MIN_LIMIT_MS:
             self.limit_ms = min(self.limit_ms, max(MIN_LIMIT_MS, STALE_IDLE_SHARE * idle_ms))
 
     def grow(self) -> None:
-        """Raise the limit by one step; called at each periodic check."""
+        """Raise the limit by one step; the worker pool calls this at each periodic check."""
         self.limit_ms = min(self._max_limit_ms, GROWTH_FACTOR * self.limit_ms)
--- a/function_router/net/invariants.py
+++ b/function_router/net/invariants.py
@@ -1,25 +1,25 @@
-"""Run-time checks of the rules that a router has to keep: violations are counted and logged.
+"""Run-time checks of a router's invariants: violations are counted and logged.
 
-A check concerns what has happened, not what was decided, and changes nothing. A violation is a fault of the
-program; the log and the counters show it, and the soak test counts it.
+A check examines what the router did, not what it decided, and has no effect on requests. A violation is a bug
+of the router; the log and the counters show violations, and the soak test counts them.
 """
 
 from collections import Counter
 from collections.abc import Callable
 from enum import StrEnum
 
-# These log lines have a rate limit of their own.
+# The log limits the rate of its lines per source; log lines about violations are a source of their own.
 LOG_SOURCE = "invariants"
 LOG_PREFIX = "invariant violated"
 
-# How long after its deadline an answer may leave, as an iteration of the event loop may stall.
+# An answer may leave this long after its deadline, as an iteration of the event loop may stall.
 MAX_LATENESS_MS = 400.0
-# How much longer an attempt's timeout may be than its client's remaining time. The operator allows 150 ms.
+# An attempt's timeout may exceed its client's remaining time by this much. The operator allows 150 ms.
 MAX_TIMEOUT_EXCESS_MS = 100.0
 
 
 class Invariant(StrEnum):
-    """A rule that has to hold; the values are what the log calls it."""
+    """An invariant of the router; the values are the texts in the log."""
 
     ONE_ANSWER = "each request gets one final answer"
     ANSWERED_IN_TIME = "the final answer leaves in time"
@@ -32,11 +32,11 @@
     """Counts and logs violations.
 
     Attributes:
-        violations: the number of violations of each invariant since the start.
+        violations: The number of violations of each invariant since the router started.
     """
 
     def __init__(self, log: Callable[[str, str], None]) -> None:
-        """Write a line for each violation to `log`, which takes a text and its source."""
+        """Log each violation with `log`, which takes the text of a log line and its source."""
         self.violations: Counter[Invariant] = Counter()
         self._log = log
 
--- a/function_router/net/pool_resources.py
+++ b/function_router/net/pool_resources.py
@@ -1,4 +1,4 @@
-"""What the workers of one pool share."""
+"""The resources that the workers of one pool share."""
 
 from msgspec import Struct
 
@@ -11,15 +11,15 @@
 
 
 class PoolResources(Struct):
-    """What each worker of a pool needs for its connections, shared by all of them.
+    """The resources that all workers of a pool share for their connections.
 
     Attributes:
         loop: The event loop that serves the connections.
         transport: Timeouts and limits of the transport.
-        telemetry: For what was sent, how connections closed and what workers did wrong.
-        budget: The connections that there are and may be, to all workers together.
-        idle_limit: After which idle time a connection is not used any more.
-        readiness: Says which connections may carry new work.
+        telemetry: Counts sent exchanges and closed connections, and logs protocol errors of workers.
+        budget: The limit on the connections to all workers together.
+        idle_limit: The limit on the idle time after which a connection is not used again.
+        readiness: Decides which connections may carry new work.
     """
 
     loop: EventLoop
--- a/function_router/net/pooled_worker.py
+++ b/function_router/net/pooled_worker.py
@@ -1,4 +1,4 @@
-"""One worker of the pool: its endpoint, its connections, and the exchanges that are queued for one."""
+"""A worker of the pool, with its address, its connections and the exchanges that wait for a connection."""
 
 import math
 from collections.abc import Callable
@@ -17,16 +17,16 @@
 
 
 class PooledWorker:
-    """A worker, known by its id and never by its address alone: another one may get the same address later.
+    """A worker of the pool, which assigns each exchange to a connection or queues it until there is one.
 
-    It dispatches each exchange to a connection, or queues it until there is one. It is the owner of its
-    connections, which notify it when they are established and closed.
+    The id identifies the worker. The address alone does not: another worker may get the same address later.
+    The worker is the owner of its connections, which notify it when they are established and closed.
 
     Attributes:
-        worker_id: Its id.
-        address: Where it listens.
-        state: Its state in the endpoint list.
-        connections: Its connections, also the ones to an earlier process of it.
+        worker_id: The id of the worker.
+        address: The address on which the worker listens.
+        state: The state of the worker in the endpoint list.
+        connections: The connections to the worker, including those to an earlier process.
         queue: The exchanges that wait for a connection.
     """
 
@@ -51,15 +51,15 @@
         resources: PoolResources,
         on_unused: Callable[[int], None],
     ) -> None:
-        """A worker without connections.
+        """Create a worker without connections.
 
         Args:
-            worker_id: Its id.
-            address: Where it listens.
-            state: Its state in the endpoint list.
-            started_at_ms: When its process started, in Unix time; 0 if unknown.
-            resources: What it shares with other workers.
-            on_unused: Called with its id once it is removed and has no connection and no exchange left.
+            worker_id: The id of the worker.
+            address: The address on which the worker listens.
+            state: The state of the worker in the endpoint list.
+            started_at_ms: When the worker's process started, in Unix time; 0 if unknown.
+            resources: The resources that the workers of the pool share.
+            on_unused: Called with the id once the worker is removed and has no connection and no exchange.
         """
         self.worker_id = worker_id
         self.address = address
@@ -74,12 +74,12 @@
     # --- endpoint -----------------------------------------------------------------------------
 
     def update(self, address: Address | None, state: WorkerState, started_at_ms: float) -> None:
-        """Adopt what the endpoint list says now.
+        """Apply a new record of the worker in the endpoint list.
 
         Args:
-            address: Where it listens; None: where it did before.
-            state: Its state.
-            started_at_ms: When its process started, in Unix time; 0 if unknown.
+            address: The address on which the worker listens; None leaves it unchanged.
+            state: The state of the worker.
+            started_at_ms: When the worker's process started, in Unix time; 0 if unknown.
         """
         is_replaced = self._is_replaced_by(address, started_at_ms)
         if is_replaced:
@@ -89,32 +89,33 @@
         self._started_at_ms = max(started_at_ms, self._started_at_ms)
         if state is not WorkerState.READY:
             self._abort_unsendable()
-        if is_replaced and self.queue:  # connections that are being established lead to the earlier process
+        if is_replaced and self.queue:  # connects in progress lead to the earlier process
             self._connect_for_queued()
         if state is WorkerState.REMOVED:
             self.connections.retire_all()
             self._report_if_unused()
 
     def _is_replaced_by(self, address: Address | None, started_at_ms: float) -> bool:
-        """Whether an endpoint record shows a new process: a new address, or a later start."""
+        """Return whether an endpoint record shows a new process, by a new address or a later start."""
         has_moved = address is not None and address != self.address
         return has_moved or started_at_ms > self._started_at_ms
 
     def _abort_unsendable(self) -> None:
-        """Finish the exchanges of which nothing was written and that may not be sent any more."""
+        """Abort the unwritten exchanges that the worker's state does not allow any more."""
         for exchange in [*self.queue, *self.connections.unwritten_exchanges()]:
             if check_worker(exchange, self.state):
                 exchange.abort(CloseReason.DRAINING)
 
     def _report_if_unused(self) -> None:
+        """Notify the pool if the worker is removed and has neither connections nor queued exchanges."""
         if self.state is WorkerState.REMOVED and not self.connections and not self.queue:
             self._on_unused(self.worker_id)
 
     # --- exchanges ----------------------------------------------------------------------------
 
     def dispatch(self, exchange: Exchange) -> None:
-        """Put an exchange on a connection, or queue it for one; finish it if it may not be sent."""
-        if exchange.is_done:  # aborted as a consequence of dispatching the one before
+        """Assign an exchange to a connection or queue it; finish the exchange if it may not be sent."""
+        if exchange.is_done:  # aborted as a consequence of dispatching the previous exchange
             return
         telemetry = self._resources.telemetry
         if not_sent_reason := check_worker(exchange, self.state):
@@ -133,16 +134,19 @@
             self._assign(exchange, connection)
 
     def _latest_connection_ms(self, exchange: Exchange) -> float:
-        """Until when a connection must have been established to carry the exchange; infinite if any may."""
+        """Return the latest time at which a connection that may carry the exchange was established.
+
+        The time is infinite if any connection may carry the exchange.
+        """
         if not exchange.is_new_work:
             return math.inf
         return self._resources.readiness.latest_connection_ms(self.worker_id)
 
     def _assign(self, exchange: Exchange, connection: WorkerConnection) -> None:
-        """Put an exchange on a connection, and open a spare one for the next where that is called for.
+        """Assign an exchange to a connection, and open a spare connection for the next exchange if needed.
 
-        It is where this connection already carried an attempt, or where the settings allow connecting ahead.
-        A health check is answered at once, so it calls for none.
+        A spare connection is needed if this connection already carried an attempt, or if the settings allow
+        connections to be opened in advance. A health check needs none, as workers answer it at once.
         """
         is_shared = connection.has_attempt_in_flight
         connection.assign(exchange)
@@ -152,14 +156,14 @@
             self.connections.open_spare_if_needed(self)
 
     def _dispatch_queued(self) -> None:
-        """Dispatch what is queued: a connection may have become free, or another connect may succeed."""
+        """Dispatch the queued exchanges: a connection may have capacity now, or a new connect may succeed."""
         for exchange in self.queue.take_all():
             self.dispatch(exchange)
 
     # --- connecting ---------------------------------------------------------------------------
 
     def _connect_for_queued(self) -> None:
-        """Open as many connections as the queued exchanges need, unless a retry will."""
+        """Open as many connections as the queued exchanges need, unless a retry of a connect is scheduled."""
         if self._connect_retry.is_scheduled:
             return
         max_exchanges = self._resources.transport.max_exchanges_per_connection
@@ -172,7 +176,7 @@
                 return
 
     def _on_connect_failed(self, reason: CloseReason) -> None:
-        """Retry for what is queued, or finish it if there will be no retry."""
+        """Schedule a retry for the queued exchanges, or finish them if there will be no retry."""
         if not self._connect_retry.schedule_after(reason, self._dispatch_queued):
             for exchange in self.queue.take_all():
                 exchange.finish(reason)
@@ -180,7 +184,7 @@
     # --- from the connections -----------------------------------------------------------------
 
     def on_connection_established(self, connection: WorkerConnection) -> None:
-        """Dispatch what is queued for a connection, unless this one leads to an earlier process."""
+        """Dispatch the queued exchanges, or close the connection if it leads to an earlier process."""
         if connection.is_retired:
             connection.close(CloseReason.ENDPOINT_REPLACED)
             return
@@ -188,7 +192,7 @@
         self._dispatch_queued()
 
     def on_connection_closed(self, connection: WorkerConnection, reason: CloseReason) -> None:
-        """Finish the exchanges on the connection; those of which nothing was written get another one."""
+        """Finish the started exchanges of a closed connection, and dispatch the unwritten ones again."""
         self.connections.discard(connection, reason)
         for exchange in connection.take_all_exchanges():
             if exchange.is_started:
--- a/function_router/net/start_orders.py
+++ b/function_router/net/start_orders.py
@@ -1,4 +1,4 @@
-"""Start orders and probes: from the decision to ask a worker for instances to the report of its answer."""
+"""Sending of the start orders and probes that the decision module requests, and reports of their results."""
 
 from collections.abc import Callable
 
@@ -12,24 +12,25 @@
 from function_router.net.worker_pool import WorkerPool
 
 RevalidateStartOrder = Callable[[float, float], float | None]
-"""Checks an order against the start order rate limit when its first byte could leave.
+"""Checks an order against the rate limit of start orders when the order's first byte could be written.
 
-Takes the time as of which the order counts towards the limit, and the time now; returns the time as of which
-it counts if it leaves now, or None if it must not leave. All are times of the decision module's clock.
+The arguments are the time as of which the order counts towards the limit, and the present time. The result is
+the time as of which the order counts if it is sent now, or None if it must not be sent. All times are on the
+decision module's clock.
 """
 
 
 class _RateLimitCheck:
-    """Says whether one start order may leave, each time that its first byte could.
+    """Decides whether a start order may be sent, each time that its first byte could be written.
 
-    An order may be queued for long. It counts towards the rate limit as of when it leaves, and one that the
-    limit has once stopped may never leave.
+    An order may be queued for a long time. It counts towards the rate limit as of when it is sent. Once the
+    limit has stopped an order, that order may never be sent.
     """
 
     __slots__ = ("_clock", "_counted_at_ms", "_revalidate")
 
     def __init__(self, decided_at_ms: float, revalidate: RevalidateStartOrder, clock: Clock) -> None:
-        """Check an order that was decided on, and counted, at `decided_at_ms`."""
+        """Create the check of an order that was decided on, and counted, at `decided_at_ms`."""
         self._counted_at_ms: float | None = decided_at_ms
         self._revalidate = revalidate
         self._clock = clock
@@ -50,10 +51,10 @@
         revalidate_start_order: RevalidateStartOrder,
         add_trace_step: Callable[[str, str], None],
     ) -> None:
-        """Send orders to the workers of `pool`.
+        """Create a sender of orders to the workers of `pool`.
 
         Args:
-            loop: Its clock is the one of the decision module; results are submitted to it.
+            loop: The event loop, which has the clock of the decision module and takes the results.
             pool: The workers.
             revalidate_start_order: Checks an order against the rate limit.
             add_trace_step: Called with a function and a text for each order and each result.
@@ -67,8 +68,9 @@
         """Send a start order, or a probe if the action asks for no instances.
 
         Args:
-            action: What the decision module wants.
-            decided_at_ms: The time of the batch of events that led to it, on the decision module's clock.
+            action: The action of the decision module.
+            decided_at_ms: The time of the batch of events that led to the action, on the decision module's
+                clock.
         """
         self._add_trace_step(action.function, f"ensure {action.instances} instances at {action.worker_id}")
         order = StartOrder(
--- a/function_router/net/transient_errors.py
+++ b/function_router/net/transient_errors.py
@@ -1,4 +1,4 @@
-"""Errors of system calls that may be gone in a moment, and retries after them during start-up."""
+"""Transient errors of system calls, and retries after such errors during startup."""
 
 import errno
 import time
@@ -7,23 +7,24 @@
 
 from function_router.config import UnreadableFileError
 
-# The system is short of a resource for a moment, or a signal interrupted the call: accept(2), open(2), ...
+# System calls such as accept(2) and open(2) fail with these errors if a resource is temporarily exhausted or
+# if a signal interrupts the call.
 TRANSIENT_ERRORS = frozenset(
     {errno.EAGAIN, errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 )
-# During start-up, too: a previous process still holds the address, or the machine has not configured it yet;
-# epoll_ctl(2) finds too many watches.
+# More errors are transient during startup: a previous process may still use the address, the machine may not
+# have configured the address yet, or epoll_ctl(2) may have reached the limit on watches.
 STARTUP_ERRORS = TRANSIENT_ERRORS | {errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENOSPC}
-# A router has 10 s to become ready; an operation that fails for longer than this is reported.
+# A router has 10 s to become ready. An operation that fails for longer than this is reported as failed.
 STARTUP_RETRY_S = 5.0
-# Between two tries of an operation.
+# Tries of an operation are this far apart.
 STARTUP_RETRY_INTERVAL_S = 0.02
 
 ResultT = TypeVar("ResultT")
 
 
 def is_transient(error: OSError | UnreadableFileError) -> bool:
-    """Whether the same call may well succeed in a moment."""
+    """Return whether the call that failed with this error may succeed shortly afterwards."""
     return error.errno in TRANSIENT_ERRORS
 
 
@@ -32,16 +33,19 @@
     read_monotonic_s: Callable[[], float] = time.monotonic,
     sleep: Callable[[float], None] = time.sleep,
 ) -> ResultT:
-    """Call an operation of the start-up, and again while it fails with one of STARTUP_ERRORS.
+    """Call an operation during startup, and retry it while it fails with one of STARTUP_ERRORS.
 
     Args:
-        operation: The operation; its result is returned.
+        operation: The operation to call.
         read_monotonic_s: Reads the monotonic clock, in seconds.
         sleep: Waits for a time in seconds.
 
+    Returns:
+        The result of the operation.
+
     Raises:
-        OSError: Where the operation failed with another error, or for STARTUP_RETRY_S.
-        UnreadableFileError: The same, where the operation reads a file.
+        OSError: The operation failed with another error, or for longer than STARTUP_RETRY_S.
+        UnreadableFileError: The operation failed in the same way to read a file.
     """
     deadline_s = read_monotonic_s() + STARTUP_RETRY_S
     while True:
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a worker, and the exchanges in flight on it."""
+"""A connection to a worker, with the exchanges in flight on the connection."""
 
 import math
 from typing import Protocol
@@ -19,40 +19,43 @@
 from function_router.net.timer_wheel import Timer
 from function_router.net.worker_messages import Attempt, Exchange
 
-# A partial frame to which nothing was added for this long was cut off: nothing after it can be read.
+# A partial frame that does not grow for this long is treated as truncated: no later frame can be decoded.
 PARTIAL_FRAME_TIMEOUT_MS = 250.0
-# Exchange ids that are remembered on one connection, as a late or duplicate answer to them may still come.
+# A connection keeps this many ids of ended exchanges, as a late or duplicate answer to them may still arrive.
 MAX_USED_IDS = 1_024
-# Unwritten bytes on one connection: a worker that doesn't read is sent no more.
+# A connection with this many unwritten bytes gets no new exchange, as its worker does not read.
 MAX_PENDING_BYTES = 256 * 1024
 
 _CLOSED_REMOTELY = (CloseReason.RESET_BY_PEER, CloseReason.CLOSED_BY_PEER)
 
 
 class WorkerConnectionOwner(Protocol):
-    """The worker that a connection leads to, which is notified of what happens to the connection."""
+    """The worker that a connection leads to; the connection notifies it of its state changes."""
 
     @property
     def worker_id(self) -> int:
-        """Its id."""
+        """Return the id of the worker."""
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Return the address on which the worker listens."""
 
     @property
     def state(self) -> WorkerState:
-        """Its state in the endpoint list."""
+        """Return the state of the worker in the endpoint list."""
 
     def on_connection_established(self, connection: "WorkerConnection") -> None:
-        """The connection is established."""
+        """Handle a connection that has just been established."""
 
     def on_connection_closed(self, connection: "WorkerConnection", reason: CloseReason) -> None:
-        """The connection is closed, or could not be established; its exchanges are still on it."""
+        """Handle a connection that was closed or could not be established.
+
+        The connection still has its exchanges.
+        """
 
 
 class ConnectError(FunctionRouterError):
-    """Connecting to a worker failed at once, or the limits forbid it; `reason` says why."""
+    """Raised if a connect to a worker fails at once or exceeds a limit; `reason` is the cause."""
 
     def __init__(self, owner: WorkerConnectionOwner, reason: CloseReason) -> None:
         super().__init__(f"cannot connect to worker {owner.worker_id} at {owner.address}: {reason.name}")
@@ -60,21 +63,20 @@
 
 
 class WorkerConnection:
-    """One connection to a worker, and the exchanges in flight on it.
+    """A connection to a worker, and the `ExchangeHolder` of the exchanges in flight on the connection.
 
     Args:
-        loop: The event loop that serves it.
-        owner: The worker that it leads to.
-        transport: Has the connect timeout and the limit of exchanges on one connection.
-        telemetry: Logs what the worker did wrong.
-        readiness: Says whether the connection may carry new work.
+        loop: The event loop that serves the connection.
+        owner: The worker that the connection leads to.
+        transport: The source of the connect timeout and of the limit of exchanges on one connection.
+        telemetry: Logs protocol errors of the worker, and records violations of invariants.
+        readiness: Decides whether the connection may carry new work.
 
     Attributes:
         connection: The TCP connection.
-        exchanges: The exchanges in flight by id, in the order in which they were put on it; it is the
-            `ExchangeHolder` of each.
-        is_retired: Whether it gets no new exchange and is closed once it has none.
-        established_at_ms: When it was established, on the monotonic clock; infinite before.
+        exchanges: The exchanges in flight by id, in the order in which they were assigned.
+        is_retired: Whether the connection gets no new exchange and is closed once all exchanges are finished.
+        established_at_ms: When the connection was established, on the monotonic clock; infinite before that.
     """
 
     __slots__ = (
@@ -102,10 +104,10 @@
         telemetry: Telemetry,
         readiness: ReadinessAdapter,
     ) -> None:
-        """Begin to connect to `owner`, a worker, at its present address.
+        """Begin to connect to the worker `owner` at its present address.
 
         Raises:
-            ConnectError: Connecting failed at once; `owner` is not notified then.
+            ConnectError: The connect failed at once; `owner` is not notified in this case.
         """
         self.exchanges: dict[bytes, Exchange] = {}
         self.is_retired = False
@@ -116,8 +118,8 @@
         self._readiness = readiness
         self._max_exchanges = transport.max_exchanges_per_connection
         self._reader = frames.FrameReader()
-        self._used_ids: dict[bytes, None] = {}  # ids that may not be used again here, oldest first
-        self._unwritten_at_flush: list[Exchange] = []  # of which nothing was written by the last flush
+        self._used_ids: dict[bytes, None] = {}  # ids that this connection must not reuse, oldest first
+        self._unwritten_at_flush: list[Exchange] = []  # exchanges without a written byte at the last flush
         self._partial_frame_timer: Timer | None = None
         connection = Connection.connect(loop, owner.address, self, transport.connect_timeout_ms)
         if isinstance(connection, CloseReason):
@@ -129,58 +131,60 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether it is established and open."""
+        """Return whether the connection is established and open."""
         return self.connection.is_connected and not self.connection.is_closed
 
     @property
     def was_established(self) -> bool:
-        """Whether it has ever been established, even if it is closed by now."""
+        """Return whether the connection has been established at some time, even if it is closed now."""
         return self.connection.is_connected
 
     @property
     def has_attempt_in_flight(self) -> bool:
-        """Whether one of its exchanges is an attempt."""
+        """Return whether one of the exchanges in flight is an attempt."""
         return any(isinstance(exchange, Attempt) for exchange in self.exchanges.values())
 
     def idle_ms(self) -> float:
-        """For how long it has been idle; 0 while exchanges are in flight."""
+        """Return how long the connection has been idle; 0 while exchanges are in flight."""
         return 0.0 if self.exchanges else self._activity.idle_ms()
 
     def is_unresponsive(self) -> bool:
-        """Whether answers are outstanding and nothing was received for long.
+        """Return whether answers are outstanding and nothing has been received for too long.
 
-        Connections to a machine that has vanished stay open and silent.
+        Connections to a machine that has crashed or become unreachable stay open and silent.
         """
         return bool(self.exchanges) and self._activity.is_silent()
 
     def accepts(self, exchange_id: bytes) -> bool:
-        """Whether an exchange with this id may be put on it."""
+        """Return whether an exchange with this id may be assigned to the connection."""
         has_capacity = len(self.exchanges) < self._max_exchanges
         is_new_id = exchange_id not in self.exchanges and exchange_id not in self._used_ids
         return has_capacity and is_new_id and self.connection.pending_bytes < MAX_PENDING_BYTES
 
     def has_reached_end_of_stream(self) -> bool:
-        """Whether the worker has closed it, with nothing unread before that."""
+        """Return whether the worker has closed the connection and the router has read all bytes before."""
         return self.connection.peek() is Unread.END
 
     def stale_idle_ms(self, reason: CloseReason) -> float | None:
-        """For how long it had been idle, if it broke as soon as it was used again; None if it didn't.
+        """Return how long a stale connection had been idle before its last use; None if it was not stale.
+
+        A connection was stale if the peer or the network closed it just after it became active.
 
         Args:
-            reason: Why it closed; its exchanges have to be on it still.
+            reason: Why the connection closed; its exchanges must not have been taken off yet.
         """
         is_broken_in_use = reason in _CLOSED_REMOTELY and bool(self.exchanges)
         is_stale = is_broken_in_use and self._activity.is_newly_active()
         return self._activity.idle_before_use_ms if is_stale else None
 
     def unwritten(self) -> list[Exchange]:
-        """The exchanges of which nothing has been written."""
+        """Return the exchanges of which no byte has been written."""
         return [exchange for exchange in self.exchanges.values() if not exchange.is_started]
 
     # --- exchanges --------------------------------------------------------------------------
 
     def assign(self, exchange: Exchange) -> None:
-        """Put an exchange on it, to be written at the end of this turn of the loop."""
+        """Add an exchange, which is written at the end of this turn of the event loop."""
         if not self.exchanges:
             self._activity.on_active()
         self.exchanges[exchange.exchange_id] = exchange
@@ -188,7 +192,7 @@
         self._unwritten_at_flush.append(exchange)
 
     def remove(self, exchange: Exchange) -> None:
-        """Take out an exchange without an answer, and cancel an attempt that the worker may have received."""
+        """Remove an exchange without an answer; cancel an attempt that the worker may have received."""
         self.exchanges.pop(exchange.exchange_id, None)
         pending_write = exchange.pending_write
         if pending_write is not None and self.connection.cancel_write(pending_write):
@@ -199,17 +203,17 @@
         self._prevent_id_reuse(exchange.exchange_id)
 
     def take_all_exchanges(self) -> list[Exchange]:
-        """Take all exchanges off a closed connection, in the order in which they were put on it."""
+        """Remove and return all exchanges of a closed connection in the order of their assignment."""
         exchanges = list(self.exchanges.values())
         self.exchanges = {}
         return exchanges
 
     def on_exchange_finished(self) -> None:
-        """Close it if it was kept only for an exchange that is finished now."""
+        """Close a retired connection whose last exchange has just finished."""
         self._close_if_retired_and_empty()
 
     def _prevent_id_reuse(self, exchange_id: bytes) -> None:
-        """Accept no other exchange with this id, as an answer to this one may still come."""
+        """Reject further exchanges with this id, as an answer to the ended exchange may still arrive."""
         self._used_ids[exchange_id] = None
         if len(self._used_ids) > MAX_USED_IDS:
             oldest = next(iter(self._used_ids))
@@ -218,16 +222,16 @@
     # --- closing ----------------------------------------------------------------------------
 
     def close(self, reason: CloseReason) -> None:
-        """Close it; the owner is notified once."""
+        """Close the connection; the owner is notified once."""
         self.connection.close(reason)
 
     def retire(self) -> None:
-        """Put nothing new on it, and close it once it is empty."""
+        """Assign no new exchange to the connection, and close it once all exchanges are finished."""
         self.is_retired = True
         self._close_if_retired_and_empty()
 
     def close_if_idle(self, max_idle_ms: float) -> None:
-        """Close it if it has been idle for too long, or was silent until its last exchange was removed."""
+        """Close the connection if it has been idle for too long, or was silent when it became idle."""
         if not self.is_connected or self.exchanges:
             return
         if self._activity.was_silent_until_removal():
@@ -242,17 +246,17 @@
     # --- from the TCP connection ------------------------------------------------------------
 
     def on_connected(self) -> None:
-        """The connection is established."""
+        """Record when the connection was established, and notify the owner."""
         self.established_at_ms = monotonic_ms()
         self._owner.on_connection_established(self)
 
     def on_data(self, data: bytes) -> None:
-        """Finish the exchanges whose answers are complete with these bytes."""
+        """Finish the exchanges whose answers are complete with the received bytes."""
         for frame in self._reader.feed(data):
             exchange = self.exchanges.pop(frame.exchange_id, None)
-            if exchange is None:  # a late or duplicate answer
+            if exchange is None:  # the answer is late or a duplicate
                 continue
-            if frame.code != frames.OK:  # a duplicate of this answer must not end a retry under the same id
+            if frame.code != frames.OK:  # a duplicate of this answer must not end a retry with the same id
                 self._prevent_id_reuse(frame.exchange_id)
             exchange.finish(exchange.parse_answer(frame))
         if self._reader.error is not None:
@@ -262,7 +266,7 @@
             self._schedule_partial_frame_check(PARTIAL_FRAME_TIMEOUT_MS)
 
     def on_flushed(self) -> None:
-        """Check at run time that the exchanges that have just started were allowed to."""
+        """Check the invariants of the exchanges whose first byte was written by this flush."""
         if not self._unwritten_at_flush:
             return
         for exchange in self._unwritten_at_flush:
@@ -271,7 +275,7 @@
         self._unwritten_at_flush = self.unwritten()
 
     def _check_send(self, exchange: Exchange) -> None:
-        """Check at run time that an exchange whose first bytes were just written was allowed to start."""
+        """Record the invariants that an exchange violated when its first byte was written."""
         written_at_ms = self.connection.last_write_ms
         is_in_grace = self._readiness.is_within_drain_grace(self._owner.worker_id, written_at_ms)
         violations = find_send_violations(exchange, self._owner.state, written_at_ms, is_in_grace=is_in_grace)
@@ -279,7 +283,7 @@
             self._telemetry.invariants.record(violation.invariant, violation.detail)
 
     def on_write_delayed(self) -> None:
-        """Finish exchanges that may not be sent any more, and have the others state the time left now."""
+        """Finish unwritten exchanges that may not be sent any more; update the timeouts of the others."""
         latest_ms = self._readiness.latest_connection_ms(self._owner.worker_id)
         for exchange in self.unwritten():
             not_sent_reason = check_exchange(exchange, self._owner.state) or check_readiness(
@@ -291,7 +295,7 @@
                 self.connection.replace_write(exchange.pending_write, exchange.encode())
 
     def on_closed(self, reason: CloseReason) -> None:
-        """The connection is closed."""
+        """Notify the owner that the connection was closed."""
         self._owner.on_connection_closed(self, reason)
 
     def _schedule_partial_frame_check(self, delay_ms: float) -> None:
--- a/function_router/net/worker_messages.py
+++ b/function_router/net/worker_messages.py
@@ -1,8 +1,8 @@
-"""What is sent to workers: attempts, start orders and health checks, each with one result.
+"""The exchanges with workers: attempts, start orders and health checks.
 
-Such an exchange is created by the request table, the `StartOrderSender` or the `HealthChecker`, queued and
-written by the worker pool, and finished exactly once: with the worker's answer, or with the reason why there
-is none.
+The request table, the `StartOrderSender` and the `HealthChecker` create exchanges. The worker pool queues and
+writes them. Each exchange finishes exactly once: with the worker's answer, or with the reason why there is no
+answer.
 """
 
 from abc import ABC, abstractmethod
@@ -21,14 +21,15 @@
 from function_router.net.timer_wheel import Timer
 from function_router.net.write_queue import PendingWrite
 
-# Digits of a number in an answer: a longer one is not a plausible count.
+# A number in an answer has at most this many digits; a longer one is not a plausible count.
 MAX_COUNT_DIGITS = 9
 
 _ATTEMPT_OUTCOMES = {
     frames.OK: Outcome.OK,
     frames.NOT_LOADED: Outcome.NOT_LOADED,
     frames.QUEUE_FULL: Outcome.QUEUE_FULL,
-    # The worker dropped it unrun, as its time was up: a retry is as safe as if it was never sent.
+    # The worker dropped the attempt before running it, as its time was up. A retry is as safe as if the
+    # attempt had never been sent.
     frames.EXPIRED: Outcome.NOT_SENT,
 }
 _START_ORDER_OUTCOMES = {
@@ -51,11 +52,11 @@
     """A worker's answer to an exchange.
 
     Attributes:
-        outcome: What the code of the answer means.
+        outcome: The outcome that the code of the answer stands for.
         body: The function's result, in the answer to an attempt.
-        start_kind: Whether the request needed an instance to start.
-        in_flight: Requests for the function that the worker already had when this one arrived.
-        instances: Instances of the function on the worker, in the answer to a start order or probe.
+        start_kind: Whether the request had to wait for an instance to start, and whose start that was.
+        in_flight: How many requests for the function the worker already had when the attempt arrived.
+        instances: How many instances of the function the worker has, in the answer to a start order or probe.
         readiness: Whether the worker accepts new work, in the answer to a health check.
     """
 
@@ -68,11 +69,11 @@
 
 
 Result = Answer | CloseReason
-"""How an exchange ended: the worker's answer, or the reason why there is none."""
+"""The result of an exchange: the worker's answer, or the reason why there is no answer."""
 
 
 def _parse_count(text: str | None) -> int:
-    """The number in a field of an answer; 0 if the field is absent or not a count."""
+    """Return the count in a field of an answer; 0 if the field is absent or invalid."""
     if text and text.isascii() and text.isdigit() and len(text) <= MAX_COUNT_DIGITS:
         return int(text)
     return 0
@@ -83,13 +84,13 @@
 
 
 class ExchangeHolder(Protocol):
-    """Where an unfinished exchange is: in the queue for a connection to its worker, or on a connection."""
+    """The container of an unfinished exchange: the queue for a connection to its worker, or a connection."""
 
     def remove(self, exchange: "Exchange") -> None:
-        """Take out an exchange that is about to finish without an answer."""
+        """Remove an exchange that is about to finish without an answer."""
 
     def on_exchange_finished(self) -> None:
-        """An exchange that was here has finished, and its result has been delivered."""
+        """Handle the end of an exchange of this holder, after its result was delivered."""
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
@@ -97,18 +98,19 @@
     """A message to a worker and its one result, which is an answer or a close reason.
 
     Attributes:
-        worker_id: The worker that it is for.
+        worker_id: The worker that the message is for.
         exchange_id: Eight bytes that the worker repeats in its answer.
-        reason_not_to_send: Says why it may not be sent, apart from the worker's state; called whenever its
-            first byte could leave.
-        not_sent_reason: Why it was not sent, once it has finished for such a reason.
-        created_at_ms: When it was created, on the monotonic clock.
-        holder: The queue or the connection that it is in; None before it is dispatched and once it is done.
-        pending_write: Its bytes, while it is on a connection.
-        timeout_timer: Finishes it if nothing else does.
-        is_done: Whether it has its result.
-        connection_wait_ms: How long after its creation it was put on a connection.
-        connected_at_ms: When that connection was established, on the monotonic clock.
+        reason_not_to_send: Returns why the exchange may not be sent, apart from the worker's state; called
+            whenever the first byte could be written.
+        not_sent_reason: Why the exchange was not sent, if it finished for such a reason.
+        created_at_ms: When the exchange was created, on the monotonic clock.
+        holder: The queue or the connection that has the exchange; None before the exchange is dispatched and
+            after it is done.
+        pending_write: The bytes of the message, while the exchange is on a connection.
+        timeout_timer: Finishes the exchange if no answer arrives in time.
+        is_done: Whether the exchange has its result.
+        connection_wait_ms: The time from the creation of the exchange to its assignment to a connection.
+        connected_at_ms: When the connection of the exchange was established, on the monotonic clock.
     """
 
     worker_id: int
@@ -125,32 +127,32 @@
 
     @property
     def is_started(self) -> bool:
-        """Whether the worker may have received some of its bytes."""
+        """Return whether the worker may have received some bytes of the message."""
         return self.pending_write is not None and self.pending_write.written > 0
 
     @property
     @abstractmethod
     def is_new_work(self) -> bool:
-        """Whether it must not be sent to a draining worker."""
+        """Return whether the exchange is new work, which a draining worker must not be sent."""
 
     @abstractmethod
     def encode(self) -> bytes:
-        """The frame to send, as of now."""
+        """Return the frame to send; a timeout in the frame is relative to the present time."""
 
     def timeout_excess_ms(self, _now_ms: float) -> float:
-        """How much more time its frame states than is left until its deadline."""
+        """Return by how much the timeout in the frame exceeds the time left until the deadline."""
         return 0.0
 
     @abstractmethod
     def outcome_of(self, code: int) -> Outcome:
-        """What the code of the worker's answer means."""
+        """Return the outcome that the code of the worker's answer stands for."""
 
     @abstractmethod
     def _deliver(self, result: Result) -> None:
-        """Pass the result to the sender."""
+        """Pass the result to the creator of the exchange."""
 
     def finish(self, result: Result) -> None:
-        """Deliver the result, unless one has been delivered already."""
+        """Deliver the result, unless a result has been delivered already."""
         if self.is_done:
             return
         self.is_done = True
@@ -163,19 +165,22 @@
             holder.on_exchange_finished()
 
     def attach(self, connection: ExchangeHolder, pending_write: PendingWrite, connected_at_ms: float) -> None:
-        """Put it on a connection, which was established at that time and is about to write its bytes."""
+        """Attach the exchange to a connection that was established at `connected_at_ms`.
+
+        The connection is about to write `pending_write`, the bytes of the message.
+        """
         self.connected_at_ms = connected_at_ms
         self.connection_wait_ms = monotonic_ms() - self.created_at_ms
         self.pending_write = pending_write
         self.holder = connection
 
     def detach(self) -> None:
-        """Take it off a closed connection on which nothing of it was written, to be dispatched again."""
+        """Detach the exchange from a closed connection that wrote no byte of it; it is dispatched again."""
         self.holder = None
         self.pending_write = None
 
     def abort(self, reason: CloseReason) -> None:
-        """Finish it without an answer; the worker is notified if it may have received an attempt."""
+        """Finish the exchange without an answer; cancel an attempt that the worker may have received."""
         if self.is_done:
             return
         if self.holder is not None:
@@ -183,18 +188,18 @@
         self.finish(reason)
 
     def time_out(self) -> None:
-        """Finish it without an answer, as there was none in time."""
+        """Finish the exchange, as no answer arrived in time."""
         self.abort(CloseReason.DEADLINE_EXCEEDED if self.is_started else CloseReason.NOT_SENT)
 
     def finish_unsent(self, not_sent_reason: NotSentReason, telemetry: Telemetry) -> None:
-        """Finish it, of which nothing was written, as it may not be sent any more; count the reason."""
+        """Finish an unwritten exchange that may not be sent any more, and count the reason."""
         if not self.is_done:
             self.not_sent_reason = not_sent_reason
             telemetry.count(NOT_SENT, not_sent_reason.name)
             self.abort(CloseReason.NOT_SENT)
 
     def parse_answer(self, frame: frames.Frame) -> Answer:
-        """Convert the frame of its answer; an absent or invalid field counts as 0 or unknown."""
+        """Convert the frame of the worker's answer; an absent or invalid field counts as 0 or unknown."""
         fields = frame.fields
         return Answer(
             outcome=self.outcome_of(frame.code),
@@ -208,16 +213,16 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class Attempt(Exchange):
-    """One attempt at running a request on a worker.
+    """An attempt to run a request on a worker.
 
     Attributes:
         on_done: Called once, with the attempt and its result.
         class_name: The request's class.
         function: The function to run.
-        idempotency_key: By which workers recognize a repeated attempt; empty if the class needs none.
+        idempotency_key: The key by which workers recognize a repeated attempt; empty if the class needs none.
         body: The request's body.
         deadline_ms: When the client stops waiting, on the monotonic clock.
-        encoded_timeout_ms: The time until the deadline that its frame states.
+        encoded_timeout_ms: The timeout in the frame: the time left until the deadline when it was encoded.
     """
 
     on_done: Callable[["Attempt", Result], None]
@@ -230,7 +235,7 @@
 
     @property
     def is_new_work(self) -> bool:
-        """Always new work."""
+        """Return True, as an attempt is always new work."""
         return True
 
     def encode(self) -> bytes:
@@ -246,11 +251,11 @@
         )
 
     def timeout_excess_ms(self, now_ms: float) -> float:
-        """How much more time its frame states than is left until its deadline."""
+        """Return by how much the timeout in the frame exceeds the time left until the deadline."""
         return self.encoded_timeout_ms - (self.deadline_ms - now_ms)
 
     def outcome_of(self, code: int) -> Outcome:
-        """What the code of the answer means; after an unknown one the request may have run."""
+        """Return the outcome for the code of an answer; after an unknown code the request may have run."""
         return _ATTEMPT_OUTCOMES.get(code, Outcome.ERROR)
 
     def _deliver(self, result: Result) -> None:
@@ -259,9 +264,9 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class StartOrder(Exchange):
-    """An order to keep at least so many instances of a function running; one for 0 instances is a probe.
+    """An order to keep at least `instances` instances of a function running; a probe if that is 0.
 
-    A probe starts nothing: it asks how many instances there are.
+    A probe starts no instance: it asks how many instances the worker has.
 
     Attributes:
         on_done: Called once, with the order and its result.
@@ -275,7 +280,7 @@
 
     @property
     def is_new_work(self) -> bool:
-        """Whether it is more than a probe."""
+        """Return whether the order is more than a probe."""
         return self.instances > 0
 
     def encode(self) -> bytes:
@@ -283,7 +288,7 @@
         return frames.encode_ensure_instances(self.exchange_id, self.function, self.instances)
 
     def outcome_of(self, code: int) -> Outcome:
-        """What the code of the answer means."""
+        """Return the outcome for the code of an answer."""
         return _START_ORDER_OUTCOMES.get(code, Outcome.ERROR)
 
     def _deliver(self, result: Result) -> None:
@@ -292,11 +297,12 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class HealthCheck(Exchange):
-    """A question to a worker: whether it is ready or draining.
+    """A health check, which asks a worker whether it is ready or draining.
 
     Attributes:
         on_done: Called once, with the health check and its result.
-        asked_at_ms: When it was encoded, on the monotonic clock: the worker read it no earlier.
+        asked_at_ms: When the health check was encoded, on the monotonic clock; the worker cannot have read it
+            earlier.
     """
 
     on_done: Callable[["HealthCheck", Result], None]
@@ -304,16 +310,16 @@
 
     @property
     def is_new_work(self) -> bool:
-        """Never new work."""
+        """Return False, as a health check is never new work."""
         return False
 
     def encode(self) -> bytes:
-        """Encode the question, and note the time."""
+        """Encode the health check, and record the time."""
         self.asked_at_ms = monotonic_ms()
         return frames.encode_check_health(self.exchange_id)
 
     def outcome_of(self, code: int) -> Outcome:
-        """What the code of the answer means: any other one than the two is none of a health check."""
+        """Return the outcome for the code of an answer; only the two codes of health checks are valid."""
         return Outcome.OK if code in _READINESS else Outcome.ERROR
 
     def _deliver(self, result: Result) -> None:
--- a/function_router/net/worker_pool.py
+++ b/function_router/net/worker_pool.py
@@ -1,4 +1,4 @@
-"""The workers that the endpoint list names, and the sending of attempts and start orders to them."""
+"""The pool of workers that the endpoint list names, through which all exchanges with workers are sent."""
 
 import itertools
 import random
@@ -19,19 +19,20 @@
 from function_router.net.worker_messages import Attempt, Exchange, HealthCheck, StartOrder
 
 EXCHANGE_ID_BYTES = 8
-# The first id of start orders is random, so that routers don't use the same ones.
+# The first id of start orders and health checks is random, so that routers don't use the same ids.
 FIRST_EXCHANGE_ID_BITS = 62
-# A health check without an answer ends after this time. Workers answer it at once, whatever they run.
+# A health check without an answer ends after this time. Workers answer health checks at once, whatever
+# functions they run.
 HEALTH_CHECK_TIMEOUT_MS = 1_000.0
 
 
 class WorkerPool:
-    """Owns the workers by their ids; all exchanges with workers go through it.
+    """Owns the workers; all exchanges with workers are sent through the pool.
 
-    Each worker owns its connections and dispatches its exchanges, see `PooledWorker`.
+    Each worker owns its connections and dispatches its exchanges; see `PooledWorker`.
 
     Attributes:
-        workers: The workers by id: those that the endpoint list names, and removed ones with exchanges left.
+        workers: The workers by id: those in the endpoint list, and removed ones that are still in use.
     """
 
     def __init__(
@@ -43,15 +44,15 @@
         telemetry: Telemetry,
         readiness: ReadinessPolicy | None = None,
     ) -> None:
-        """A pool without workers.
+        """Create a pool without workers.
 
         Args:
             loop: The event loop that serves the connections.
             transport: Timeouts and limits of the transport.
-            max_connections: To all workers together.
-            seed: For the ids of start orders.
-            telemetry: For what was sent, how connections closed and what workers did wrong.
-            readiness: Decides which workers may get new work; None: all.
+            max_connections: The maximum number of connections to all workers together.
+            seed: The seed of the first id of start orders and health checks.
+            telemetry: Counts sent exchanges and closed connections, and logs protocol errors of workers.
+            readiness: Decides which workers may get new work; None allows it to all workers.
         """
         self.workers: dict[int, PooledWorker] = {}
         self._resources = PoolResources(
@@ -69,13 +70,13 @@
     def update_endpoint(
         self, worker_id: int, address: Address | None, state: WorkerState, started_at_ms: float
     ) -> None:
-        """Adopt what the endpoint list says of a worker.
+        """Apply a record of the endpoint list, and add the worker if it is new.
 
         Args:
-            worker_id: Its id.
-            address: Where it listens; None leaves that unchanged.
-            state: Its state.
-            started_at_ms: When its process started, in Unix time; 0 if unknown.
+            worker_id: The id of the worker.
+            address: The address on which the worker listens; None leaves it unchanged.
+            state: The state of the worker.
+            started_at_ms: When the worker's process started, in Unix time; 0 if unknown.
         """
         worker = self.workers.get(worker_id)
         if worker is not None:
@@ -86,7 +87,7 @@
             )
 
     def workers_at(self, address: Address) -> list[int]:
-        """The ids of the workers at an address that are not removed."""
+        """Return the ids of the workers at an address, without removed workers."""
         return [
             worker.worker_id
             for worker in self.workers.values()
@@ -94,7 +95,7 @@
         ]
 
     def connection_lost_at_ms(self, worker_id: int) -> float | None:
-        """When a connection to a worker last ended without this router's doing, on the monotonic clock."""
+        """Return when a connection to a worker was last lost, on the monotonic clock; None if none was."""
         worker = self.workers.get(worker_id)
         return None if worker is None else worker.connections.last_lost_ms
 
@@ -110,7 +111,7 @@
     # --- exchanges ----------------------------------------------------------------------------
 
     def send(self, attempt: Attempt) -> None:
-        """Send an attempt; it finishes at its deadline at the latest."""
+        """Send an attempt, which finishes at its deadline at the latest."""
         telemetry = self._resources.telemetry
         left_ms = attempt.deadline_ms - monotonic_ms()
         if left_ms <= 0:
@@ -120,13 +121,13 @@
         self._dispatch(attempt, left_ms)
 
     def ensure_instances(self, order: StartOrder) -> None:
-        """Send a start order or a probe, which gets its id here."""
+        """Assign an id to a start order or a probe, and send it."""
         self._resources.telemetry.count(START_ORDERS if order.instances else PROBES)
         order.exchange_id = self._next_exchange_id()
         self._dispatch(order, self._resources.transport.start_order_timeout_ms)
 
     def check_health(self, check: HealthCheck) -> None:
-        """Send a health check, which gets its id here."""
+        """Assign an id to a health check, and send it."""
         check.exchange_id = self._next_exchange_id()
         self._dispatch(check, HEALTH_CHECK_TIMEOUT_MS)
 
@@ -134,16 +135,16 @@
         return next(self._exchange_ids).to_bytes(EXCHANGE_ID_BYTES, "big")
 
     def cancel(self, exchange: Exchange) -> None:
-        """Cancel an exchange unless it is done; a worker that may have received an attempt is notified."""
+        """Cancel an exchange unless it is done; also cancel an attempt at the worker that may have got it."""
         exchange.abort(CloseReason.CANCELLED)
 
     def cancel_if_unsent(self, exchange: Exchange) -> None:
-        """Cancel an exchange whose request is finished, unless the worker may have received some of it."""
+        """Cancel an exchange of a finished request, unless the worker may have received some bytes of it."""
         if not exchange.is_started:
             exchange.finish_unsent(NotSentReason.REQUEST_FINISHED, self._resources.telemetry)
 
     def _dispatch(self, exchange: Exchange, timeout_ms: float) -> None:
-        """Pass an exchange to its worker, and finish it after the timeout if nothing else does."""
+        """Pass an exchange to its worker, and set a timer that finishes the exchange after the timeout."""
         resources = self._resources
         exchange.timeout_timer = resources.loop.timers.call_later(timeout_ms, exchange.time_out)
         worker = self.workers.get(exchange.worker_id)
@@ -155,7 +156,7 @@
     # --- connections --------------------------------------------------------------------------
 
     def check_timeouts(self) -> None:
-        """Close connections that have been idle for too long; called periodically."""
+        """Close connections that have been idle for too long; the router calls this periodically."""
         idle_limit = self._resources.idle_limit
         idle_limit.grow()
         for connection in self._all_connections():
