--- a/function_router/net/connection_set.py
+++ b/function_router/net/connection_set.py
@@ -41,7 +41,7 @@
     def __iter__(self) -> Iterator[WorkerConnection]:
         return iter(self._connections)
 
-    # --- choosing -----------------------------------------------------------------------------
+    # --- choice of a connection ---------------------------------------------------------------
 
     def choose(self, exchange: Exchange, latest_connection_ms: float) -> WorkerConnection | None:
         """Choose the connection for an exchange; return None if no connection may be used.
@@ -146,7 +146,7 @@
         """Return the connections to the present process of the worker."""
         return [connection for connection in self._connections if not connection.is_retired]
 
-    # --- ending -------------------------------------------------------------------------------
+    # --- closing ------------------------------------------------------------------------------
 
     def retire_all(self) -> None:
         """Retire all connections, as the worker has moved, restarted or been removed."""
--- a/function_router/net/endpoint_log_client.py
+++ b/function_router/net/endpoint_log_client.py
@@ -165,7 +165,7 @@
         if connection is not None:
             connection.close(reason)
 
-    # --- from the connection --------------------------------------------------------------------
+    # --- callbacks of the connection ------------------------------------------------------------
 
     def on_connected(self) -> None:
         """Request the events after the last applied one."""
--- a/function_router/net/endpoint_watch.py
+++ b/function_router/net/endpoint_watch.py
@@ -82,7 +82,7 @@
         self._tracker.reset_requests()
         self.client.move_to(address)
 
-    # --- from the client ------------------------------------------------------------------------
+    # --- callbacks of the client ----------------------------------------------------------------
 
     def _on_line(self, line: bytes) -> None:
         message = parse_line(line)
--- a/function_router/net/pooled_worker.py
+++ b/function_router/net/pooled_worker.py
@@ -181,7 +181,7 @@
             for exchange in self.queue.take_all():
                 exchange.finish(reason)
 
-    # --- from the connections -----------------------------------------------------------------
+    # --- callbacks of the connections ---------------------------------------------------------
 
     def on_connection_established(self, connection: WorkerConnection) -> None:
         """Dispatch the queued exchanges, or close the connection if it leads to an earlier process."""
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -243,7 +243,7 @@
         if self.is_retired and not self.exchanges and self.is_connected:
             self.close(CloseReason.ENDPOINT_REPLACED)
 
-    # --- from the TCP connection ------------------------------------------------------------
+    # --- callbacks of the TCP connection ----------------------------------------------------
 
     def on_connected(self) -> None:
         """Record when the connection was established, and notify the owner."""
--- a/tests/net/test_connect_retry.py
+++ b/tests/net/test_connect_retry.py
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    """The clock of the retries and their timers."""
+    """A fake clock for the retries and their timers."""
     clock = FakeMonotonicClock()
     monkeypatch.setattr(connect_retry, "monotonic_ms", clock.read_ms)
     return clock
@@ -38,16 +38,16 @@
 
 
 def pass_interval(clock, timers):
-    """Let the time until the next retry pass."""
+    """Advance the clock to the next retry."""
     clock.advance(RETRY_INTERVAL_MS + TICK_MS)
     timers.advance()
 
 
 def do_nothing():
-    """A retry that does nothing."""
+    """Take the place of the callback of a retry."""
 
 
-# --- by itself
+# --- unit tests
 
 
 def test_failure_at_the_worker_is_not_retried(retry):
@@ -94,7 +94,7 @@
     assert retry.schedule_after(CloseReason.LOCAL_FAILURE, do_nothing)
 
 
-# --- in a router
+# --- tests in a router
 
 
 def test_refused_connection_proves_that_the_attempt_did_not_run(start_router):
@@ -105,7 +105,7 @@
     harness.pool.update_endpoint(UNLISTED_WORKER_ID, worker.address, WorkerState.READY, 0.0)
 
     harness.pool.send(attempt(UNLISTED_WORKER_ID, results))
-    harness.run_until(lambda: results, "the attempt ends")
+    harness.run_until(lambda: results, "the attempt finishes")
 
     assert results == [(CloseReason.CONNECTION_REFUSED, False)]
 
@@ -125,7 +125,7 @@
 
     with mock.patch.object(socket.socket, "connect_ex", fail_at_first):
         harness.pool.send(attempt(UNLISTED_WORKER_ID, results))
-        harness.run_until(lambda: results or worker.requests, "it runs")
+        harness.run_until(lambda: results or worker.requests, "the attempt reaches the worker")
 
     assert (failures, results, len(worker.requests)) == ([], [], 1)
 
@@ -138,7 +138,7 @@
 
     with mock.patch.object(socket.socket, "connect_ex", return_value=errno.ENETUNREACH) as connect:
         harness.pool.send(attempt(UNLISTED_WORKER_ID, results))
-        harness.run_until(lambda: results, "it is given up")
+        harness.run_until(lambda: results, "the attempt finishes")
 
     assert results == [(CloseReason.LOCAL_FAILURE, False)]
     assert outcome_of(CloseReason.LOCAL_FAILURE, is_started=False) is Outcome.NOT_SENT
--- a/tests/net/test_connection_activity.py
+++ b/tests/net/test_connection_activity.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    """The clock that the activity reads."""
+    """A fake clock for the activity."""
     clock = FakeMonotonicClock(STARTED_AT_MS)
     monkeypatch.setattr(connection_activity, "monotonic_ms", clock.read_ms)
     return clock
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def connection(clock):
-    """What the activity sees of a TCP connection."""
+    """A stand-in for a TCP connection, with the attributes that the activity reads."""
     return SimpleNamespace(last_used_ms=clock.now_ms, last_received_ms=clock.now_ms)
 
 
@@ -57,7 +57,7 @@
     ("elapsed_ms", "is_silent"), [(UNRESPONSIVE_AFTER_MS, False), (UNRESPONSIVE_AFTER_MS + 1.0, True)]
 )
 def test_active_connection_is_silent_after_a_limited_time(clock, activity, elapsed_ms, is_silent):
-    clock.advance(10 * UNRESPONSIVE_AFTER_MS)  # idle, which is no silence
+    clock.advance(10 * UNRESPONSIVE_AFTER_MS)  # time that passes while idle does not count as silence
     activity.on_active()
 
     clock.advance(elapsed_ms)
--- a/tests/net/test_connection_budget.py
+++ b/tests/net/test_connection_budget.py
@@ -13,7 +13,7 @@
 
 
 class FakeConnection:
-    """A connection that is established, and idle for `idle` ms unless it has an exchange in flight."""
+    """A connection that has been idle for `idle` ms, unless it has an exchange in flight."""
 
     def __init__(self, idle, *, is_connected=True, is_in_use=False):
         self.is_connected = is_connected
@@ -22,23 +22,23 @@
         self._idle = idle
 
     def idle_ms(self):
-        """For how long it has been idle."""
+        """Return how long the connection has been idle."""
         return self._idle
 
     def close(self, reason):
-        """Note the reason."""
+        """Record the reason."""
         self.close_reasons.append(reason)
 
 
 def budget_with(count, connections=()):
-    """A budget that has counted so many connections."""
+    """Return a budget that has counted `count` open connections."""
     budget = ConnectionBudget(MAX_CONNECTIONS, lambda: list(connections))
     for _ in range(count):
         budget.on_opened()
     return budget
 
 
-# --- by itself
+# --- unit tests
 
 
 @pytest.mark.parametrize(("count", "is_allowed"), [(0, True), (6, True), (7, False), (10, False)])
@@ -78,7 +78,7 @@
     assert budget.ensure_capacity()
 
 
-# --- in a router
+# --- tests in a router
 
 
 def test_connections_stay_within_their_share_of_descriptors(start_router):
@@ -88,7 +88,9 @@
 
     for number in range(40):
         harness.pool.send(attempt(worker.worker_id, results, exchange_id=b"%08d" % number))
-    harness.run_until(lambda: len(worker.requests) + len(results) == 40, "all run or end")
+    harness.run_until(
+        lambda: len(worker.requests) + len(results) == 40, "all attempts reach the worker or finish"
+    )
 
     assert set(results) == {(CloseReason.CONNECTION_LIMIT, False)}
     assert len(worker.connections) <= 32 * router_process.WORKER_SHARE
@@ -103,7 +105,7 @@
     for number, worker in enumerate(workers):
         harness.add_unlisted_worker(worker, number)
         pool.ensure_instances(start_order(number, results, instances=0))
-        harness.run_until(lambda number=number: len(results) > number, "it is reached")
+        harness.run_until(lambda number=number: len(results) > number, "the probe is answered")
 
     assert {result for result, _ in results} == {Outcome.OK}
     assert pool._resources.budget.connection_count <= 32 * router_process.WORKER_SHARE
--- a/tests/net/test_endpoint_list_status.py
+++ b/tests/net/test_endpoint_list_status.py
@@ -1,4 +1,4 @@
-"""Tests of `endpoint_list_status`, and of what the endpoint log has to send to confirm the list."""
+"""Tests of `endpoint_list_status`, and of the lines of the endpoint log that confirm the list."""
 
 from unittest import mock
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def harness(start_router, worker):
-    """A router that believes its endpoint list for only a moment after the log is interrupted."""
+    """A router whose lease on the endpoint list is short, so that the list is soon out of date."""
     return start_router(worker, settings={"invariants": {"drain_grace": GRACE_MS}})
 
 
@@ -34,7 +34,7 @@
     return [line for line in harness.log_lines if line.startswith("endpoint list")]
 
 
-# --- what confirms the list
+# --- lines that confirm the list
 
 
 @pytest.mark.parametrize("heartbeat", [b"1", b'{"seq":1}'])
@@ -68,12 +68,16 @@
 
 
 def skip_unreadable_event(harness):
-    """Let the log send an event that can't be read, again on request, and then announce it."""
+    """Have the log send an unreadable event, again on request, and then announce its number."""
     for count in (2, 2):
         harness.endpoint_log.send_line(UNREADABLE_EVENT)
-        harness.run_until(lambda count=count: len(harness.endpoint_log.requests()) == count, "it is read")
+        harness.run_until(
+            lambda count=count: len(harness.endpoint_log.requests()) == count, "the event is read"
+        )
     harness.endpoint_log.send_line(b"2")
-    harness.run_until(lambda: any("skipped events" in line for line in harness.log_lines), "it is skipped")
+    harness.run_until(
+        lambda: any("skipped events" in line for line in harness.log_lines), "the event is skipped"
+    )
     harness.round_trip(harness.connect_client())
 
 
@@ -99,7 +103,7 @@
     wait_until_stale(harness)
     for _ in range(2):
         harness.endpoint_log.send_line(b"noise")
-        harness.run_until(lambda: len(harness.endpoint_log.requests()) == 2, "it is read")
+        harness.run_until(lambda: len(harness.endpoint_log.requests()) == 2, "the line is read")
 
     harness.endpoint_log.send_line(b"1")
 
@@ -124,7 +128,7 @@
     with mock.patch.object(endpoint_log_client, "MAX_FIRST_LINE_DELAY_MS", -1_000.0):
         harness.endpoint_log.send_line(b"1")
         client = harness.router_process.endpoint_watch.client
-        harness.run_until(lambda: client.is_delayed, "it is late")
+        harness.run_until(lambda: client.is_delayed, "the log counts as delayed")
         harness.round_trip(harness.connect_client())
 
     assert not is_current(harness)
@@ -134,15 +138,15 @@
     client = harness.router_process.endpoint_watch.client
     with mock.patch.object(endpoint_log_client, "MAX_FIRST_LINE_DELAY_MS", -1_000.0):
         harness.endpoint_log.send_line(b"1")
-        harness.run_until(lambda: client.is_delayed, "it is late")
+        harness.run_until(lambda: client.is_delayed, "the log counts as delayed")
 
     with mock.patch.object(endpoint_log_client, "DELAYED_LOG_RETRY_MS", 0.0):
-        harness.run_until(lambda: len(harness.endpoint_log.requests()) == 2, "it is requested again")
+        harness.run_until(lambda: len(harness.endpoint_log.requests()) == 2, "the log is requested again")
     assert not client.is_delayed
 
 
 def test_confirmation_counts_as_of_the_poll_before_it(harness):
-    """A process that was suspended may read a heartbeat that has been in the socket for long."""
+    """A process that was suspended may read a heartbeat that arrived long before."""
     loop = harness.router_process.loop
     harness.round_trip(harness.connect_client())
     previous_poll_ms = loop.previous_poll_ms
@@ -155,7 +159,7 @@
     assert abs(confirmed.as_of_ms - loop.clock.from_monotonic_ms(previous_poll_ms - 5_000.0)) < 1.0
 
 
-# --- what is logged
+# --- log lines
 
 
 def test_stale_list_is_logged_once_and_so_is_its_recovery(harness):
@@ -163,12 +167,12 @@
     harness.endpoint_log.connections[-1].sock.close()
     harness.endpoint_log.close()
     wait_until_stale(harness)
-    harness.run_until(lambda: lines_on_the_list(harness), "it is logged")
+    harness.run_until(lambda: lines_on_the_list(harness), "the stale list is logged")
     status = harness.router_process.endpoint_list_status
     status.check()
 
     status.on_confirmed()
-    harness.run_until(lambda: len(lines_on_the_list(harness)) > 1, "its recovery is logged")
+    harness.run_until(lambda: len(lines_on_the_list(harness)) > 1, "the recovery is logged")
 
     stale_line, current_line = lines_on_the_list(harness)
     assert stale_line.startswith("endpoint list is out of date: last confirmed ")
--- a/tests/net/test_endpoint_log_client.py
+++ b/tests/net/test_endpoint_log_client.py
@@ -13,15 +13,15 @@
 
 
 class RepeatingEndpointLog(FakeEndpointLog):
-    """An endpoint log that sends the same lines on every connection, as soon as it has a request."""
+    """An endpoint log that answers the request on each connection with the same lines."""
 
     def __init__(self, *lines):
         super().__init__()
         self.lines = lines
-        self.served = set()  # indexes of the connections that have the lines
+        self.served = set()  # indexes of the connections on which the lines were sent
 
     def receive(self):
-        """Read requests and answer each new one."""
+        """Read requests and answer each new request."""
         super().receive()
         for index, connection in enumerate(self.connections):
             if connection.data.endswith(b"\n") and index not in self.served and not connection.is_closed:
@@ -42,7 +42,7 @@
 
 
 def start_moved_log(harness, log=None):
-    """A second endpoint log, which the harness serves too."""
+    """Add a second endpoint log, which the harness serves too, and return it."""
     moved = log or FakeEndpointLog()
     harness.add_listener(moved)
     return moved
@@ -56,14 +56,14 @@
     wait_for_sequence(harness, 2)
 
     with mock.patch.object(endpoint_log_client, "SILENCE_TIMEOUT_MS", -1.0):
-        harness.run_until(lambda: len(harness.endpoint_log.requests()) == 2, "it is requested again")
+        harness.run_until(lambda: len(harness.endpoint_log.requests()) == 2, "the log is requested again")
 
     assert harness.endpoint_log.requests() == [["since", "1"], ["since", "2"]]
 
 
 def test_silence_timeout_starts_when_the_connection_is_established(harness):
     client = harness.router_process.endpoint_watch.client
-    client._last_line_ms -= endpoint_log_client.SILENCE_TIMEOUT_MS + 1  # connecting took that long
+    client._last_line_ms -= endpoint_log_client.SILENCE_TIMEOUT_MS + 1  # the connect took this long
     before = client._connection
 
     client.on_connected()
@@ -96,7 +96,7 @@
 
     harness.router_process.endpoint_watch.move_to(log.address)
     wait_ms(harness, 4 * endpoint_log_client.RECONNECT_DELAY_MS)
-    harness.run_until(lambda: len(log.connections) > 1, "it is requested again")
+    harness.run_until(lambda: len(log.connections) > 1, "the log is requested again")
 
     delays = (clock.monotonic_ms() - started_ms) / endpoint_log_client.RECONNECT_DELAY_MS
     assert len(log.connections) <= 1 + delays
@@ -128,7 +128,7 @@
     with mock.patch.object(endpoint_log_client, "RECONNECT_DELAY_MS", 30.0):
         harness.endpoint_log.send_line(endpoint_event(2))
         wait_for_sequence(harness, 2)
-        if is_broken:  # the reconnect to the old address is scheduled already
+        if is_broken:  # a reconnect to the old address is then scheduled before the move
             harness.endpoint_log.connections[0].close()
             harness.run_until(lambda: watch.client._connection is None, "the connection breaks")
         watch.move_to(moved.address)
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -15,15 +15,15 @@
 
 
 class FakePool:
-    """Keeps the updates that it gets, and the address of each worker that is not removed."""
+    """A worker pool that records its updates and the address of each worker that is not removed."""
 
     def __init__(self):
         self.updates = []
-        self.kept = None  # the ids that the last complete list names
+        self.kept = None  # the ids in the last complete list
         self.addresses = {}
 
     def update_endpoint(self, worker_id, address, state, started_at_ms):
-        """Note the update."""
+        """Record the update."""
         self.updates.append((worker_id, address, state, started_at_ms))
         if state is WorkerState.REMOVED:
             self.addresses.pop(worker_id, None)
@@ -31,17 +31,17 @@
             self.addresses[worker_id] = address
 
     def workers_at(self, address):
-        """The ids of the workers at an address."""
+        """Return the ids of the workers at an address."""
         return [worker_id for worker_id, at in self.addresses.items() if at == address]
 
     def remove_all_except(self, worker_ids):
-        """Note the ids and forget all other workers."""
+        """Record the ids and remove all other workers."""
         self.kept = worker_ids
         self.addresses = {key: at for key, at in self.addresses.items() if key in worker_ids}
 
 
 class RegistryHarness:
-    """A registry with a fake pool, and the changes that it passes on."""
+    """A registry with a fake pool, and the changes that the registry passes on."""
 
     def __init__(self):
         self.pool = FakePool()
@@ -54,7 +54,7 @@
         self.log_lines.append(text)
 
     def apply(self, *records, complete=False):
-        """Apply a list; the workers of the change and their states, in order."""
+        """Apply a list, and return the changed workers and their states in order."""
         self.registry.apply(EndpointList(list(records), complete=complete))
         return [(endpoint.worker_id, endpoint.state) for endpoint in self.changes[-1].endpoints]
 
@@ -154,14 +154,14 @@
     harness = start_router(old)
     workers = harness.router_process.router.fleet.workers.by_id
     watch = harness.router_process.endpoint_watch
-    harness.run_until(lambda: old_id in workers, "the old one is known")
+    harness.run_until(lambda: old_id in workers, "the old worker is known")
     started_30_s_ago = clock.unix_ms() - 30_000.0
     member = old.record(up_since_ms=started_30_s_ago) | {"id": "s-2", "locality": "east"}
 
     harness.endpoint_log.send_line(endpoint_event(2, member))
-    harness.run_until(lambda: new_id in workers, "the new one is known")
+    harness.run_until(lambda: new_id in workers, "the new worker is known")
 
-    for sequence, phase in ((3, "in_service"), (4, "terminated")):  # late events of the old one
+    for sequence, phase in ((3, "in_service"), (4, "terminated")):  # late events of the old worker
         states = [workers[worker_id].endpoint.state for worker_id in (old_id, new_id)]
         assert states == [WorkerState.REMOVED, WorkerState.READY]
         assert list(harness.pool.workers) == [new_id]
@@ -169,7 +169,7 @@
         harness.run_until(lambda awaited=sequence: watch.last_sequence == awaited, "the event is applied")
         harness.router_process.loop.run_once(0)
     harness.connect_client().send_request()
-    harness.run_until(lambda: old.requests, "a request runs")
+    harness.run_until(lambda: old.requests, "the request reaches the worker")
     assert all(attempt.worker_id == new_id for attempt in harness.table.attempts.by_key.values())
     assert workers[new_id].started_ms == pytest.approx(started_30_s_ago, abs=50.0)
 
@@ -207,15 +207,15 @@
     ]
 
 
-# --- start times, by a wall clock that may be wrong
+# --- start times and a wall clock that may be wrong
 
 
 def age_after_start_event(harness, worker, started_ago_ms):
-    """How long ago a start that a new event reports was, by the clock of the decisions."""
+    """Return the age of a start that a new event reports, on the decision module's clock."""
     up_since_ms = clock.unix_ms() - started_ago_ms
     harness.endpoint_log.send_line(endpoint_event(2, worker.record(up_since_ms=up_since_ms)))
     decided = harness.router_process.router.fleet.workers.by_id[worker.worker_id]
-    harness.run_until(lambda: decided.started_ms is not None, "the start is known")
+    harness.run_until(lambda: decided.started_ms is not None, "the start time is known")
     return harness.router_process.loop.clock.now_ms() - decided.started_ms
 
 
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Tests of `endpoint_watch`: the order of events, over a real connection to a fake endpoint log."""
+"""Tests of `endpoint_watch` for the order of events, over a real connection to a fake endpoint log."""
 
 from unittest import mock
 
@@ -40,7 +40,7 @@
     return pooled and pooled.state
 
 
-# --- order and repeats
+# --- order and repetition of events
 
 
 def test_events_received_twice_or_out_of_date_are_ignored(harness):
@@ -104,7 +104,7 @@
         harness.endpoint_log.send_line(b"{")
         wait_for_requests(harness, request_count)
         harness.endpoint_log.send_line(b"1")
-        harness.run_until(lambda: not watch._tracker.awaits_repeat, "the log is caught up again")
+        harness.run_until(lambda: not watch._tracker.awaits_repeat, "the watch has caught up again")
 
 
 @pytest.mark.parametrize("is_announced", [True, False])
--- a/tests/net/test_exchange_queue.py
+++ b/tests/net/test_exchange_queue.py
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def exchanges(results):
-    """Three exchanges that share a list of results."""
+    """Three exchanges that deliver their results to the same list."""
     return [start_order(worker_id, results) for worker_id in range(3)]
 
 
--- a/tests/net/test_health_checks.py
+++ b/tests/net/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Tests of `health_checks`, and of the connections that new work may use while the endpoint list is stale."""
+"""Tests of `health_checks`, and of new work on connections while the endpoint list is out of date."""
 
 import pytest
 from helpers.exchanges import attempt, start_order
@@ -12,11 +12,11 @@
 from function_router.net.invariants import Invariant
 from function_router.net.not_sent_reason import NotSentReason
 
-GRACE_MS = 5_000.0  # a proof lasts for almost as long, however slow the machine is
+GRACE_MS = 5_000.0  # a lease is almost as long, which suffices for the tests on a slow machine
 
 
 class HealthCheckRecorder:
-    """Stands in for the decisions: keeps what is reported of health checks."""
+    """Takes the place of the decision module for health checks, and records their reports."""
 
     def __init__(self, harness):
         self.checks = []
@@ -32,34 +32,34 @@
 
 @pytest.fixture
 def reports(harness):
-    """What the harness reports of health checks, which the decisions do not get."""
+    """The recorder of the reports of health checks, which the decision module does not get."""
     return HealthCheckRecorder(harness)
 
 
 @pytest.fixture
 def stale_harness(start_router, worker):
-    """A router whose endpoint list was never confirmed, and is not believed any more."""
+    """A router whose endpoint list was never confirmed and is out of date."""
     harness = start_router(worker, settings={"invariants": {"drain_grace": GRACE_MS}})
     harness.round_trip(harness.connect_client())
     process = harness.router_process
-    process.router.fleet.leases._interrupted_ms -= GRACE_MS  # as if it had started that long ago
+    process.router.fleet.leases._interrupted_ms -= GRACE_MS  # as if the router had started this long ago
     assert not process.router.is_endpoint_list_current(process.loop.clock.now_ms())
     return harness
 
 
 def check_health(harness, worker):
-    """Have a worker asked, and wait until it has the question."""
+    """Send a health check to a worker, and return the check once the worker has received it."""
     count = len(worker.received(HEALTH_CHECK))
     harness.table.check_health(CheckHealth(worker.worker_id, ""))
-    harness.run_until(lambda: len(worker.received(HEALTH_CHECK)) > count, "it is asked")
+    harness.run_until(lambda: len(worker.received(HEALTH_CHECK)) > count, "the health check arrives")
     return worker.received(HEALTH_CHECK)[-1]
 
 
 def obtain_lease(harness, worker):
-    """Have a worker asked and let it answer that it is ready."""
+    """Send a health check to a worker, and let the worker answer that it is ready."""
     worker.answer(check_health(harness, worker), READY_ANSWER, fields="")
     harness.round_trip(harness.connect_client())
-    harness.run_until(lambda: has_lease(harness, worker), "the answer is known")
+    harness.run_until(lambda: has_lease(harness, worker), "the worker has a lease")
 
 
 def has_lease(harness, worker):
@@ -85,7 +85,7 @@
     started_ms = clock.now_ms()
 
     worker.answer(check_health(harness, worker), code, fields="")
-    harness.run_until(lambda: reports.checks, "it is reported")
+    harness.run_until(lambda: reports.checks, "the result is reported")
 
     [report] = reports.checks
     assert (report.outcome, report.readiness) == (outcome, readiness)
@@ -96,7 +96,7 @@
 def test_health_checks_are_counted_by_their_answers(harness, worker, reports):
     worker.answer(check_health(harness, worker), READY_ANSWER, fields="")
     worker.answer(check_health(harness, worker), DRAINING_ANSWER, fields="")
-    harness.run_until(lambda: len(reports.checks) == 2, "both are reported")
+    harness.run_until(lambda: len(reports.checks) == 2, "both results are reported")
 
     counters = harness.router_process.telemetry.take_counters()
 
@@ -108,7 +108,7 @@
     started_ms = clock.now_ms()
 
     check_health(harness, worker).connection.close()
-    harness.run_until(lambda: reports.checks, "it is reported")
+    harness.run_until(lambda: reports.checks, "the result is reported")
 
     [report] = reports.checks
     assert (report.outcome, report.readiness) == (Outcome.RESET, Readiness.UNKNOWN)
@@ -130,7 +130,7 @@
     assert len(worker.connections) == connections_before
 
 
-# --- new work while the list is stale
+# --- new work while the list is out of date
 
 
 def test_worker_without_a_lease_gets_probes_but_no_new_work(stale_harness, worker, results):
@@ -184,17 +184,17 @@
     obtain_lease(stale_harness, worker)
     fleet = stale_harness.router_process.router.fleet
     stale_harness.pool.send(attempt(worker.worker_id, results))
-    fleet.leases._interrupted_ms -= 2 * GRACE_MS  # as if no check had been made just before the write
+    fleet.leases._interrupted_ms -= 2 * GRACE_MS  # as if the router had not checked just before the write
     fleet.workers.by_id[worker.worker_id].lease.process_seen_ms -= 2 * GRACE_MS
 
-    stale_harness.run_until(lambda: worker.requests, "it runs")
+    stale_harness.run_until(lambda: worker.requests, "the attempt reaches the worker")
 
     assert dict(stale_harness.router_process.telemetry.invariants.violations) == {
         Invariant.SENT_ONLY_WHILE_ALLOWED: 1
     }
 
 
-# --- a request from end to end
+# --- a request from the client to the worker
 
 
 def test_trace_of_a_request_says_why_it_was_not_sent(stale_harness, worker):
@@ -202,7 +202,7 @@
     client.send_request(ttl="400")
     stale_harness.run_until(lambda: worker.received(HEALTH_CHECK), "the worker is asked")
     worker.answer(worker.received(HEALTH_CHECK)[-1], DRAINING_ANSWER, fields="")
-    stale_harness.run_until(lambda: client.answers, "it is rejected")
+    stale_harness.run_until(lambda: client.answers, "the request is rejected")
 
     [trace] = [line for line in stale_harness.log_lines if "rejected after" in line]
     assert f"health check of {worker.worker_id}" in trace
@@ -216,8 +216,8 @@
     client.send_request()
     stale_harness.run_until(lambda: worker.received(HEALTH_CHECK), "the worker is asked")
     worker.answer(worker.received(HEALTH_CHECK)[-1], READY_ANSWER, fields="")
-    stale_harness.run_until(lambda: worker.requests, "it runs")
+    stale_harness.run_until(lambda: worker.requests, "the attempt reaches the worker")
     worker.answer(worker.requests[0], body=b"served")
-    stale_harness.run_until(lambda: client.answers, "it is answered")
+    stale_harness.run_until(lambda: client.answers, "the request is answered")
 
     assert client.answers[0][1:] == ("answer", {1: b"served", 2: {}, 3: True})
--- a/tests/net/test_invariants.py
+++ b/tests/net/test_invariants.py
@@ -1,4 +1,4 @@
-"""Tests of the run-time checks: each one counts what was broken on purpose."""
+"""Tests of the run-time checks, which have to count invariants that a test violates on purpose."""
 
 import pytest
 from helpers.exchanges import attempt
@@ -13,13 +13,13 @@
 
 @pytest.fixture
 def worker():
-    """A worker that leaves requests to the test."""
+    """A worker whose requests the test answers."""
     return FakeWorker("s-9")
 
 
 @pytest.fixture
 def harness(start_router, worker):
-    """A router of whose workers the decision module knows none."""
+    """A router whose decision module does not know the worker."""
     harness = start_router()
     harness.add_unlisted_worker(worker)
     harness.probe()
@@ -28,7 +28,7 @@
 
 
 def violations(harness):
-    """The violations counted so far."""
+    """Return the violations counted so far."""
     return dict(harness.router_process.telemetry.invariants.violations)
 
 
@@ -36,18 +36,20 @@
     results = []
 
     harness.pool.send(attempt(UNLISTED_WORKER_ID, results))
-    harness.run_until(lambda: worker.requests, "it runs")
+    harness.run_until(lambda: worker.requests, "the attempt reaches the worker")
     worker.answer(worker.requests[0])
-    harness.run_until(lambda: results, "it is answered")
+    harness.run_until(lambda: results, "the attempt is answered")
 
     assert violations(harness) == {}
 
 
 def test_first_byte_to_a_draining_worker_is_counted(harness, worker):
     harness.pool.send(attempt(UNLISTED_WORKER_ID, []))
-    harness.pool.workers[UNLISTED_WORKER_ID].state = WorkerState.DRAINING  # as if nothing was returned
+    harness.pool.workers[
+        UNLISTED_WORKER_ID
+    ].state = WorkerState.DRAINING  # as if unsent exchanges had not been aborted
 
-    harness.run_until(lambda: worker.requests, "it runs")
+    harness.run_until(lambda: worker.requests, "the attempt reaches the worker")
 
     assert violations(harness) == {Invariant.SENT_ONLY_WHILE_ALLOWED: 1}
     assert any("WORKER_DRAINING" in line for line in harness.log_lines)
@@ -58,17 +60,17 @@
     harness.pool.send(late)
 
     late.encoded_timeout_ms += 1_000.0
-    harness.run_until(lambda: worker.requests, "it runs")
+    harness.run_until(lambda: worker.requests, "the attempt reaches the worker")
 
     assert violations(harness) == {Invariant.TIMEOUT_WITHIN_DEADLINE: 1}
 
 
 @pytest.fixture
 def late_answer(harness):
-    """A client whose request was answered late, and that request."""
+    """A client whose request is answered after its deadline, and that request."""
     client = harness.connect_client()
     client.send_request()
-    harness.run_until(lambda: harness.table.pending, "it is admitted")
+    harness.run_until(lambda: harness.table.pending, "the request is admitted")
     [request] = harness.table.pending.values()
     request.deadline_ms -= 60_000.0
     harness.table._finish(request.key, Failed())
@@ -78,7 +80,7 @@
 def test_late_answer_is_counted(harness, late_answer):
     client, _ = late_answer
 
-    harness.run_until(lambda: client.answers, "it is answered")
+    harness.run_until(lambda: client.answers, "the request is answered")
 
     assert violations(harness) == {Invariant.ANSWERED_IN_TIME: 1}
     assert client.answer_kinds() == {1: "broken"}
@@ -88,7 +90,7 @@
     client, request = late_answer
 
     request.client_request.reply(Failed())
-    harness.run_until(lambda: client.answers, "it is answered")
+    harness.run_until(lambda: client.answers, "the request is answered")
 
     assert violations(harness) == {Invariant.ANSWERED_IN_TIME: 1, Invariant.ONE_ANSWER: 1}
     assert client.answer_kinds() == {1: "broken"}
@@ -98,9 +100,9 @@
 def test_close_without_answers_is_counted(harness, late_answer):
     client, request = late_answer
     request.client_request.reply(Failed())
-    harness.run_until(lambda: client.answers, "it is answered")
+    harness.run_until(lambda: client.answers, "the request is answered")
     client.send_request()
-    harness.run_until(lambda: harness.table.pending, "another one is admitted")
+    harness.run_until(lambda: harness.table.pending, "another request is admitted")
 
     harness.only_client_connection().connection.close(CloseReason.IDLE)
 
--- a/tests/net/test_pooled_worker.py
+++ b/tests/net/test_pooled_worker.py
@@ -1,4 +1,4 @@
-"""Tests of `pooled_worker`: workers that drain, are removed, move or restart."""
+"""Tests of `pooled_worker` for workers that drain, are removed, move or restart."""
 
 import pytest
 from helpers.configuration import endpoint_event
@@ -12,12 +12,12 @@
 
 OTHER_WORKER_ID = 77
 OTHER_EXCHANGE_ID = b"abcdefgh"
-LATER_START_MS = 5.0  # a worker's start is unknown at first, which counts as 0
+LATER_START_MS = 5.0  # later than the initial start time, which is unknown and counts as 0
 
 
 @pytest.fixture
 def worker(worker):
-    """A worker that leaves requests, start orders and probes to the test."""
+    """A worker whose requests, start orders and probes the test answers."""
     worker.instances = None
     return worker
 
@@ -72,9 +72,11 @@
     client = harness.run_request(worker)
 
     harness.endpoint_log.send_line(endpoint_event(2, worker.record("terminating")))
-    harness.run_until(lambda: harness.router_process.endpoint_watch.last_sequence == 2, "the drain is read")
+    harness.run_until(
+        lambda: harness.router_process.endpoint_watch.last_sequence == 2, "the drain is applied"
+    )
     worker.answer(worker.requests[0], body=b"done")
-    harness.run_until(lambda: client.answers, "it is answered")
+    harness.run_until(lambda: client.answers, "the request is answered")
 
     assert client.answer_kinds() == {1: "answer"}
 
@@ -87,7 +89,7 @@
     pool.update_endpoint(worker_id, None, WorkerState.REMOVED, 0.0)
     pool.update_endpoint(OTHER_WORKER_ID, address, WorkerState.READY, 0.0)
     pool.send(attempt(OTHER_WORKER_ID, results, exchange_id=OTHER_EXCHANGE_ID))
-    harness.run_until(lambda: len(worker.requests) == 2, "the new one runs it")
+    harness.run_until(lambda: len(worker.requests) == 2, "the attempt reaches the new worker")
 
     assert worker.requests[0].connection is not worker.requests[1].connection
     assert results == []
@@ -99,7 +101,7 @@
     [connection] = pool.workers[worker_id].connections
 
     pool.update_endpoint(worker_id, None, WorkerState.REMOVED, 0.0)
-    harness.run_until(lambda: connection.connection.is_connected, "it is established")
+    harness.run_until(lambda: connection.connection.is_connected, "the connection is established")
 
     assert connection.connection.is_closed
     assert not pool.workers
@@ -131,7 +133,7 @@
 
     pool.update_endpoint(UNLISTED_WORKER_ID, unlisted_worker.address, WorkerState.READY, LATER_START_MS)
     old_connection.connection.close(CloseReason.CONNECT_TIMEOUT)
-    harness.run_until(lambda: unlisted_worker.requests, "it runs")
+    harness.run_until(lambda: unlisted_worker.requests, "the attempt reaches the worker")
 
     assert results == []
 
@@ -146,7 +148,7 @@
     [old_connection] = pool.workers[UNLISTED_WORKER_ID].connections
 
     pool.update_endpoint(UNLISTED_WORKER_ID, None, WorkerState.READY, LATER_START_MS)
-    harness.run_until(lambda: unlisted_worker.requests, "it runs")
+    harness.run_until(lambda: unlisted_worker.requests, "the attempt reaches the worker")
 
     assert old_connection.connection.is_closed
     assert (len(unlisted_worker.requests), results) == (1, [])
@@ -160,13 +162,15 @@
     pool.update_endpoint(UNLISTED_WORKER_ID, unlisted_worker.address, WorkerState.READY, 0.0)
     for number in range(connection_set.MAX_CONNECTIONS):
         pool.send(attempt(UNLISTED_WORKER_ID, results, exchange_id=b"%08d" % number))
-        harness.run_until(lambda number=number: len(unlisted_worker.requests) > number, "it runs")
+        harness.run_until(
+            lambda number=number: len(unlisted_worker.requests) > number, "the attempt reaches the worker"
+        )
 
     pool.update_endpoint(UNLISTED_WORKER_ID, None, WorkerState.READY, LATER_START_MS)
     pool.send(attempt(UNLISTED_WORKER_ID, results, exchange_id=OTHER_EXCHANGE_ID))
     harness.run_until(
         lambda: len(unlisted_worker.requests) > connection_set.MAX_CONNECTIONS or results,
-        "the next one runs",
+        "the next attempt reaches the worker or finishes",
     )
 
     assert results == []
--- a/tests/net/test_send_checks.py
+++ b/tests/net/test_send_checks.py
@@ -24,13 +24,13 @@
 
 
 def pending(*, first_run_at_ms=math.inf, is_client_connected=True):
-    """What the checks see of a pending request."""
+    """Return a stand-in for a pending request, with the attributes that the checks read."""
     client_request = SimpleNamespace(is_client_connected=lambda: is_client_connected)
     return SimpleNamespace(first_run_at_ms=first_run_at_ms, client_request=client_request)
 
 
 def attempt_created_at(created_at_ms, *, is_started):
-    """An attempt in flight."""
+    """Return an attempt in flight."""
     in_flight = attempt(7, [])
     in_flight.created_at_ms = created_at_ms
     in_flight.pending_write = PendingWrite(b"frame", written=int(is_started))
--- a/tests/net/test_start_order_limit.py
+++ b/tests/net/test_start_order_limit.py
@@ -1,4 +1,4 @@
-"""Tests of the limit on start orders, which counts when they are sent and the requests that stay."""
+"""Tests of the rate limit of start orders, which depends on send times and on requests that stay pending."""
 
 from unittest import mock
 
@@ -18,21 +18,21 @@
 
 
 def shift_clock(harness, shift_ms):
-    """Let so much time pass on the clock from which the decisions get the time."""
+    """Advance the clock from which the decision module gets the time."""
     clock = harness.router_process.loop.clock
     now_ms = clock.now_ms
     clock.now_ms = lambda: now_ms() + shift_ms
 
 
 def count_orders(harness, count):
-    """Have the decisions count so many orders that are sent now."""
+    """Have the decision module count `count` orders as sent now."""
     now_ms = harness.router_process.loop.clock.now_ms()
     for _ in range(count):
         harness.router_process.router.start_order_limits.sent.add(now_ms)
 
 
 def send_start_order(harness, instances):
-    """Carry out a start order that was decided on now."""
+    """Send a start order that is decided on and counted now."""
     now_ms = harness.router_process.loop.clock.now_ms()
     harness.table.begin_batch(now_ms)
     harness.router_process.router.start_order_limits.sent.add(now_ms)
@@ -40,18 +40,18 @@
 
 
 def send_start_order_before_connecting(harness, worker):
-    """Carry out a start order to a worker to which no connection is established yet."""
+    """Send a start order to a worker to which no connection is established yet."""
     harness.add_unlisted_worker(worker)
     send_start_order(harness, instances=1)
 
 
 def ordered_instances(worker):
-    """The numbers of instances in the start orders and probes that the worker got."""
+    """Return the numbers of instances in the start orders and probes that the worker received."""
     return [frame.fields["slots_up"] for _, frame in worker.received(worker_frames.ENSURE_INSTANCES)]
 
 
 def fill_socket(connection):
-    """Write until the worker, which must not read, takes no more; the last piece that was written."""
+    """Write until the socket buffers are full, and return the last write; the worker must not read."""
     filler = connection.connection.write(b"")
     while not connection.connection._writer.is_blocked:
         filler = connection.connection.write(worker_frames.encode_cancel(b"nobody00") * 50_000)
@@ -77,7 +77,7 @@
 
     for seqid in range(1, 11):
         client.send_request(call=CLIENT_ID, seqid=seqid, ttl="52")
-        harness.run_until(lambda seqid=seqid: seqid in client.answer_kinds(), "it is rejected")
+        harness.run_until(lambda seqid=seqid: seqid in client.answer_kinds(), "the request is rejected")
 
     assert set(client.answer_kinds().values()) == {"throttled"}
     assert list(harness.router_process.router.fleet.arrivals.recent) == [CLIENT_ID]
@@ -92,9 +92,9 @@
     count_orders(harness, others)
     [connection] = harness.connections_to()
 
-    harness.run_until(lambda: connection.is_connected, "it is established")
+    harness.run_until(lambda: connection.is_connected, "the connection is established")
     harness.probe()
-    harness.run_until(lambda: worker.frames, "what is sent after it arrives")
+    harness.run_until(lambda: worker.frames, "the probe, which is sent after the order, arrives")
 
     assert ("1" in ordered_instances(worker)) == is_sent
     ordered = list(harness.router_process.router.start_order_limits.sent)
@@ -122,9 +122,9 @@
     shift_clock(harness, 4500.0)
     count_orders(harness, 2)
     worker.receive = receive
-    harness.run_until(lambda: not connection.connection.pending_bytes, "all is written")
-    harness.run_until(lambda: filler.written == len(filler.data), "the filler too")
+    harness.run_until(lambda: not connection.connection.pending_bytes, "all bytes are written")
+    harness.run_until(lambda: filler.written == len(filler.data), "the filler is written, too")
     harness.probe()
-    harness.run_until(lambda: "0" in ordered_instances(worker), "what is sent after it arrives")
+    harness.run_until(lambda: "0" in ordered_instances(worker), "the probe arrives")
 
     assert "2" not in ordered_instances(worker)
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -1,4 +1,4 @@
-"""Tests of `start_times`, with a wall clock that is set while the router runs."""
+"""Tests of `start_times` with a wall clock that is set while the router runs."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 class FakeMachine:
-    """A machine whose wall clock is wrong by some time; both clocks advance together."""
+    """A machine whose wall clock is wrong by `wrong_by_ms`; both of its clocks advance together."""
 
     def __init__(self, wrong_by_ms=0.0):
         self.monotonic_ms = 1000.0
@@ -20,17 +20,17 @@
         self.start_times = StartTimes(self.clock)
 
     def advance(self, elapsed_ms):
-        """Let time pass."""
+        """Advance both clocks."""
         self.monotonic_ms += elapsed_ms
         self.true_unix_ms += elapsed_ms
 
     def set_wall_clock(self, wrong_by_ms):
-        """Set the wall clock, and let the router see it."""
+        """Set the wall clock, and have the router record the step."""
         self.wrong_by_ms = wrong_by_ms
         self.clock.note_wall_clock(self.true_unix_ms + wrong_by_ms - self.monotonic_ms)
 
     def age_ms(self, true_age_ms, *, worker_id=WORKER_ID, is_live_update=False):
-        """The age that the router computes for a worker of a true age."""
+        """Return the age that the router computes for a worker of a given true age."""
         started_at = self.true_unix_ms - true_age_ms
         converted = self.start_times.convert(worker_id, started_at, is_live_update=is_live_update)
         return self.clock.now_ms() - converted
--- a/tests/net/test_transient_errors.py
+++ b/tests/net/test_transient_errors.py
@@ -14,11 +14,11 @@
         self.now_s = 0.0
 
     def read_s(self):
-        """The time now."""
+        """Return the present time."""
         return self.now_s
 
     def sleep(self, seconds):
-        """Let the time pass."""
+        """Advance the clock."""
         self.now_s += seconds
 
 
@@ -28,7 +28,7 @@
 
 
 def retry_until_failure(clock, error_number):
-    """Retry an operation that always fails; the times at which it was called."""
+    """Retry an operation that always fails, and return the times of its calls."""
     calls_s = []
 
     def fail():
--- a/tests/net/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -14,17 +14,17 @@
 from function_router.net.codecs import worker_frames
 from function_router.net.event_loop import WRITE
 
-# The codes of answers, as documented.
+# These codes of answers are those in the documentation.
 NOT_LOADED = 2
 QUEUE_FULL = 3
 INVALID_FRAME = b"HTTP/1.1 200 OK\r\n\r\n"
-MAX_EXCHANGES = 32  # on one connection, unless the settings say otherwise
-READ_PAUSE_S = 0.4  # for which a worker does not read
+MAX_EXCHANGES = 32  # the default limit for one connection
+READ_PAUSE_S = 0.4  # how long a worker does not read
 
 
 @pytest.fixture
 def worker(worker):
-    """A worker that leaves requests, start orders and probes to the test."""
+    """A worker whose requests, start orders and probes the test answers."""
     worker.instances = None
     return worker
 
@@ -40,12 +40,12 @@
     second_results = []
     harness.pool.send(attempt(first.worker_id, first_results))
     harness.pool.send(attempt(second.worker_id, second_results))
-    harness.run_until(lambda: first.requests and second.requests, "both run")
+    harness.run_until(lambda: first.requests and second.requests, "both workers have their attempts")
 
     first.requests[0].connection.sock.sendall(INVALID_FRAME)
-    harness.run_until(lambda: first_results, "the first attempt ends")
+    harness.run_until(lambda: first_results, "the first attempt finishes")
     second.answer(second.requests[0])
-    harness.run_until(lambda: second_results, "the second attempt ends")
+    harness.run_until(lambda: second_results, "the second attempt finishes")
 
     assert first_results == [(CloseReason.PROTOCOL_ERROR, True)]
     assert second_results == [(Outcome.OK, True)]
@@ -64,13 +64,15 @@
             ),
             "a spare connection is established",
         )
-        harness.run_until(lambda number=number: len(worker.requests) > number, "it runs")
+        harness.run_until(
+            lambda number=number: len(worker.requests) > number, "the attempt reaches the worker"
+        )
 
     worker.requests[1].connection.sock.sendall(INVALID_FRAME)
-    harness.run_until(lambda: results, "one attempt ends")
+    harness.run_until(lambda: results, "one attempt finishes")
     for request in (worker.requests[0], worker.requests[2]):
         worker.answer(request)
-    harness.run_until(lambda: len(results) == 3, "the others are answered")
+    harness.run_until(lambda: len(results) == 3, "the other attempts are answered")
 
     assert results == [(CloseReason.PROTOCOL_ERROR, True)] + [(Outcome.OK, True)] * 2
 
@@ -81,7 +83,7 @@
     answer = worker_frames.encode(0, request.exchange_id, body=b"x" * 50, direction=worker_frames.FROM_WORKER)
 
     peer.sock.sendall(answer[:40])
-    harness.run_until(lambda: results, "it ends")
+    harness.run_until(lambda: results, "the attempt finishes")
 
     assert results == [(CloseReason.READ_TIMEOUT, True)]
 
@@ -93,15 +95,15 @@
         harness.run_until(lambda: results, "the worker's queue is full")
         pool.send(attempt(worker.worker_id, results))
         worker.answer(worker.requests[0], QUEUE_FULL, "")
-        harness.run_until(lambda: len(worker.requests) == 2, "it runs again")
+        harness.run_until(lambda: len(worker.requests) == 2, "the retry reaches the worker")
 
     worker.answer(worker.requests[1])
-    harness.run_until(lambda: len(results) == 2, "it is answered")
+    harness.run_until(lambda: len(results) == 2, "the attempt is answered")
 
     assert [result for result, _ in results] == [Outcome.QUEUE_FULL, Outcome.OK]
 
 
-# --- ids of exchanges, and the time that they state
+# --- ids and timeouts of exchanges
 
 
 def test_connection_limits_its_exchanges_and_carries_no_id_twice(harness, pool, worker, results):
@@ -110,7 +112,7 @@
     for number in range(MAX_EXCHANGES + 1):
         pool.send(attempt(worker_id, results, exchange_id=b"%08d" % number))
     pool.send(attempt(worker_id, results, exchange_id=b"%08d" % 0))
-    harness.run_until(lambda: len(worker.requests) == MAX_EXCHANGES + 2, "all run")
+    harness.run_until(lambda: len(worker.requests) == MAX_EXCHANGES + 2, "all attempts reach the worker")
 
     for connection in worker.connections:
         ids = [frame.exchange_id for peer, frame in worker.requests if peer is connection]
@@ -124,17 +126,17 @@
     second_results = []
     first_attempt = attempt(worker_id, first_results)
     pool.send(first_attempt)
-    harness.run_until(lambda: worker.requests, "it runs")
+    harness.run_until(lambda: worker.requests, "the attempt reaches the worker")
 
     pool.cancel(first_attempt)
     pool.send(attempt(worker_id, second_results))
-    harness.run_until(lambda: len(worker.requests) == 2, "the second runs")
+    harness.run_until(lambda: len(worker.requests) == 2, "the second attempt reaches the worker")
     worker.answer(worker.requests[0], body=b"of the first")
 
     assert worker.requests[0].connection is not worker.requests[1].connection
 
     worker.answer(worker.requests[1], NOT_LOADED, "")
-    harness.run_until(lambda: second_results, "the second ends")
+    harness.run_until(lambda: second_results, "the second attempt finishes")
 
     assert first_results == [(CloseReason.CANCELLED, True)]
     assert second_results == [(Outcome.NOT_LOADED, True)]
@@ -147,10 +149,10 @@
         pool.send(late)
     connection = late.holder.connection
 
-    connection._writer.is_blocked = True  # the worker does not read for a while
+    connection._writer.is_blocked = True  # as if the worker did not read
     time.sleep(READ_PAUSE_S)
     connection._ready(WRITE)
-    harness.run_until(lambda: len(worker.requests) == 2, "it runs")
+    harness.run_until(lambda: len(worker.requests) == 2, "the attempt reaches the worker")
 
     stated_ms = float(worker.requests[1].frame.fields["ms"])
     assert stated_ms <= late.deadline_ms - monotonic_ms() + 100.0
--- a/tests/net/test_worker_messages.py
+++ b/tests/net/test_worker_messages.py
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def held_attempt(results, holder):
-    """An attempt that was written on a connection."""
+    """An attempt of which a byte was written on a connection."""
     held = attempt(7, results)
     held.holder = holder
     held.pending_write = PendingWrite(b"frame", written=1)
--- a/tests/net/test_worker_pool.py
+++ b/tests/net/test_worker_pool.py
@@ -11,17 +11,17 @@
 from function_router.net.codecs import worker_frames
 from function_router.net.not_sent_reason import NotSentReason
 
-OTHER_ADDRESS = ("127.0.0.1", 1)  # nothing listens there
+OTHER_ADDRESS = ("127.0.0.1", 1)  # nothing listens on this address
 
 
 @pytest.fixture
 def worker(worker):
-    """A worker that leaves requests, start orders and probes to the test."""
+    """A worker whose requests, start orders and probes the test answers."""
     worker.instances = None
     return worker
 
 
-# --- workers of the endpoint list
+# --- workers in the endpoint list
 
 
 def test_worker_without_an_address_is_not_added(pool, worker):
@@ -32,7 +32,7 @@
 
 def test_workers_at_an_address_are_those_that_are_not_removed(harness, pool, worker, results):
     worker_id = worker.worker_id
-    harness.run_attempt(worker, results)  # which keeps the removed worker in the pool
+    harness.run_attempt(worker, results)  # an exchange in flight keeps the removed worker in the pool
     pool.update_endpoint(UNLISTED_WORKER_ID, worker.address, WorkerState.DRAINING, 0.0)
     assert pool.workers_at(worker.address) == [worker_id, UNLISTED_WORKER_ID]
 
@@ -51,7 +51,7 @@
     assert list(pool.workers) == [worker_id]
 
     worker.answer(worker.requests[0])
-    harness.run_until(lambda: results, "it is answered")
+    harness.run_until(lambda: results, "the attempt is answered")
 
     assert list(pool.workers) == []
 
@@ -89,7 +89,7 @@
 def test_start_orders_have_unique_ids(harness, pool, worker):
     for _ in range(3):
         pool.ensure_instances(start_order(worker.worker_id, []))
-    harness.run_until(lambda: len(worker.frames) == 3, "all arrive")
+    harness.run_until(lambda: len(worker.frames) == 3, "all start orders arrive")
 
     ids = {frame.exchange_id for _, frame in worker.received(worker_frames.ENSURE_INSTANCES)}
 
@@ -100,7 +100,7 @@
     started = attempt(worker.worker_id, results)
     unsent = attempt(worker.worker_id, results, exchange_id=b"abcdefgh")
     pool.send(started)
-    harness.run_until(lambda: worker.requests, "it runs")
+    harness.run_until(lambda: worker.requests, "the attempt reaches the worker")
     pool.send(unsent)
 
     pool.cancel_if_unsent(started)
@@ -125,11 +125,11 @@
     pool.update_endpoint(UNLISTED_WORKER_ID, unreachable_address(), WorkerState.READY, 0.0)
 
     pool.send(attempt(worker_id, results, within_ms=500.0))
-    harness.run_until(lambda: results, "the attempt ends")
+    harness.run_until(lambda: results, "the attempt finishes")
     pool.ensure_instances(start_order(worker_id, results))
-    harness.run_until(lambda: len(results) == 2, "the order ends")
+    harness.run_until(lambda: len(results) == 2, "the start order finishes")
     pool.send(attempt(UNLISTED_WORKER_ID, results))
-    harness.run_until(lambda: len(results) == 3, "the connect ends")
+    harness.run_until(lambda: len(results) == 3, "the connect times out")
 
     assert results == [(CloseReason.DEADLINE_EXCEEDED, True)] * 2 + [(CloseReason.CONNECT_TIMEOUT, False)]
 
@@ -140,8 +140,8 @@
     harness = start_router(busy, idle, settings={"bounds": {"keepalive": 0.0}})
     for worker in (busy, idle):
         harness.pool.ensure_instances(start_order(worker.worker_id, results))
-    harness.run_until(lambda: results and busy.frames, "one is answered")
+    harness.run_until(lambda: results and busy.frames, "one order is answered and the other one has arrived")
 
-    harness.run_until(lambda: idle.connections[0].is_closed, "the idle one is closed")
+    harness.run_until(lambda: idle.connections[0].is_closed, "the idle connection is closed")
 
     assert not busy.connections[0].is_closed
