--- a/function_router/net/connect_retry.py
+++ b/function_router/net/connect_retry.py
@@ -10,7 +10,7 @@
 RETRY_INTERVAL_MS = 20.0
 # Retries end after this time, and the queued exchanges are reported as not sent: the decision module may then
 # send them to other workers.
-MAX_RETRY_MS = 200.0
+MAX_RETRY_DURATION_MS = 200.0
 
 _LOCAL_FAILURES = (
     CloseReason.LOCAL_FAILURE,
@@ -51,7 +51,7 @@
         now_ms = monotonic_ms()
         if self._failing_since_ms is None:
             self._failing_since_ms = now_ms
-        elif now_ms - self._failing_since_ms >= MAX_RETRY_MS:
+        elif now_ms - self._failing_since_ms >= MAX_RETRY_DURATION_MS:
             self._failing_since_ms = None
             return False
         if self._timer is None:
--- a/function_router/net/endpoint_log_client.py
+++ b/function_router/net/endpoint_log_client.py
@@ -16,7 +16,7 @@
 # The log sends a heartbeat each second. An event that a silent log delays counts as published after 4 s.
 SILENCE_TIMEOUT_MS = 2_000.0
 # One line may take this long while its bytes keep arriving: a complete list over a slow or congested network.
-MAX_LINE_MS = 30_000.0
+MAX_LINE_DURATION_MS = 30_000.0
 # The client waits this long before it reconnects. An event that is published while the connection is broken
 # counts as published after 2 s.
 RECONNECT_DELAY_MS = 200.0
@@ -140,7 +140,7 @@
         if connection is None or not connection.is_connected:
             return
         now_ms = monotonic_ms()
-        is_in_line = bool(self._partial_line) and now_ms - self._last_line_ms <= MAX_LINE_MS
+        is_in_line = bool(self._partial_line) and now_ms - self._last_line_ms <= MAX_LINE_DURATION_MS
         last_progress_ms = connection.last_received_ms if is_in_line else self._last_line_ms
         if now_ms - last_progress_ms > SILENCE_TIMEOUT_MS:
             self.request_again("no line received in time")
--- a/function_router/net/endpoint_watch.py
+++ b/function_router/net/endpoint_watch.py
@@ -16,7 +16,7 @@
 
 # Log lines and error messages quote an invalid line or event up to these lengths.
 MAX_QUOTED_LINE_BYTES = 80
-MAX_QUOTED_EVENT = 80
+MAX_QUOTED_EVENT_CHARACTERS = 80
 
 
 class EndpointWatch:
@@ -73,7 +73,7 @@
         for decoded in events:
             event = EndpointEvent.from_json(decoded)
             if event is None or not self._try_apply(event, is_initial=True):
-                problem = f"not a valid event: {str(decoded)[:MAX_QUOTED_EVENT]}"
+                problem = f"not a valid event: {str(decoded)[:MAX_QUOTED_EVENT_CHARACTERS]}"
                 raise ConfigurationError(INITIAL_EVENTS_KEY, problem)
         self._tracker.advance_to(last_sequence)
 
--- a/function_router/net/send_checks.py
+++ b/function_router/net/send_checks.py
@@ -62,7 +62,7 @@
 
 
 def find_send_violations(
-    exchange: Exchange, state: WorkerState, written_at_ms: float, *, is_in_grace: bool
+    exchange: Exchange, state: WorkerState, written_at_ms: float, *, is_in_drain_grace: bool
 ) -> Iterator[SendViolation]:
     """Yield the invariants that an exchange violated when its first byte was written.
 
@@ -70,11 +70,11 @@
         exchange: The exchange.
         state: The state of the worker.
         written_at_ms: When the byte was written, on the monotonic clock.
-        is_in_grace: Whether the byte was written within the drain grace, in which a worker may get new work
-            even if it has drained unnoticed.
+        is_in_drain_grace: Whether the byte was written within the drain grace, in which a worker may get new
+            work even if it has drained unnoticed.
     """
     not_sent_reason = check_worker(exchange, state)
-    if exchange.is_new_work and not is_in_grace:
+    if exchange.is_new_work and not is_in_drain_grace:
         not_sent_reason = not_sent_reason or NotSentReason.READINESS_UNPROVEN
     if not_sent_reason or exchange.is_done:
         cause = not_sent_reason.name if not_sent_reason else "already finished"
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -166,9 +166,7 @@
         return self.connection.peek() is Unread.END
 
     def stale_idle_ms(self, reason: CloseReason) -> float | None:
-        """Return how long a stale connection had been idle before its last use; None if it was not stale.
-
-        A connection was stale if the peer or the network closed it just after it became active.
+        """Return how long the connection had been idle if it broke just after its reuse; None otherwise.
 
         Args:
             reason: Why the connection closed; its exchanges must not have been taken off yet.
@@ -277,8 +275,10 @@
     def _check_send(self, exchange: Exchange) -> None:
         """Record the invariants that an exchange violated when its first byte was written."""
         written_at_ms = self.connection.last_write_ms
-        is_in_grace = self._readiness.is_within_drain_grace(self._owner.worker_id, written_at_ms)
-        violations = find_send_violations(exchange, self._owner.state, written_at_ms, is_in_grace=is_in_grace)
+        is_in_drain_grace = self._readiness.is_within_drain_grace(self._owner.worker_id, written_at_ms)
+        violations = find_send_violations(
+            exchange, self._owner.state, written_at_ms, is_in_drain_grace=is_in_drain_grace
+        )
         for violation in violations:
             self._telemetry.invariants.record(violation.invariant, violation.detail)
 
--- a/function_router/net/worker_messages.py
+++ b/function_router/net/worker_messages.py
@@ -54,7 +54,7 @@
     Attributes:
         outcome: The outcome that the code of the answer stands for.
         body: The function's result, in the answer to an attempt.
-        start_kind: Whether the request had to wait for an instance to start, and whose start that was.
+        start_kind: Whether the request ran on a warm instance or had to wait for an instance to start.
         in_flight: How many requests for the function the worker already had when the attempt arrived.
         instances: How many instances of the function the worker has, in the answer to a start order or probe.
         readiness: Whether the worker accepts new work, in the answer to a health check.
--- a/tests/net/test_connect_retry.py
+++ b/tests/net/test_connect_retry.py
@@ -13,7 +13,7 @@
 from function_router.decisions.types import Outcome, WorkerState
 from function_router.net import connect_retry
 from function_router.net.close_reason import CloseReason, outcome_of
-from function_router.net.connect_retry import MAX_RETRY_MS, RETRY_INTERVAL_MS, ConnectRetry
+from function_router.net.connect_retry import MAX_RETRY_DURATION_MS, RETRY_INTERVAL_MS, ConnectRetry
 from function_router.net.timer_wheel import TICK_MS, TimerWheel
 
 LOCAL_ERRORS = [errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN, errno.ENFILE]
@@ -80,14 +80,14 @@
         pass_interval(clock, timers)
         count += 1
 
-    assert clock.now_ms >= MAX_RETRY_MS
-    assert 1 < count <= MAX_RETRY_MS / RETRY_INTERVAL_MS
+    assert clock.now_ms >= MAX_RETRY_DURATION_MS
+    assert 1 < count <= MAX_RETRY_DURATION_MS / RETRY_INTERVAL_MS
     assert not retry.is_scheduled
 
 
 def test_established_connection_resets_the_time_limit_of_retries(clock, retry):
     retry.schedule_after(CloseReason.LOCAL_FAILURE, do_nothing)
-    clock.advance(MAX_RETRY_MS)
+    clock.advance(MAX_RETRY_DURATION_MS)
 
     retry.on_connected()
 
--- a/tests/net/test_worker_messages.py
+++ b/tests/net/test_worker_messages.py
@@ -21,57 +21,59 @@
 
 
 @pytest.fixture
-def held_attempt(results, holder):
+def started_attempt(results, holder):
     """An attempt of which a byte was written on a connection."""
-    held = attempt(7, results)
-    held.holder = holder
-    held.pending_write = PendingWrite(b"frame", written=1)
-    return held
+    started = attempt(7, results)
+    started.holder = holder
+    started.pending_write = PendingWrite(b"frame", written=1)
+    return started
 
 
 # --- the end of an exchange
 
 
-def test_result_is_delivered_once(held_attempt, results):
-    held_attempt.finish(CloseReason.RESET_BY_PEER)
-    held_attempt.finish(CloseReason.IDLE)
-    held_attempt.abort(CloseReason.CANCELLED)
+def test_result_is_delivered_once(started_attempt, results):
+    started_attempt.finish(CloseReason.RESET_BY_PEER)
+    started_attempt.finish(CloseReason.IDLE)
+    started_attempt.abort(CloseReason.CANCELLED)
 
     assert results == [(CloseReason.RESET_BY_PEER, True)]
 
 
-def test_holder_is_notified_after_the_result_is_delivered(held_attempt, holder, results):
+def test_holder_is_notified_after_the_result_is_delivered(started_attempt, holder, results):
     holder.on_exchange_finished.side_effect = lambda: results.append("notified")
 
-    held_attempt.finish(CloseReason.RESET_BY_PEER)
+    started_attempt.finish(CloseReason.RESET_BY_PEER)
 
     assert results == [(CloseReason.RESET_BY_PEER, True), "notified"]
-    assert held_attempt.holder is None
+    assert started_attempt.holder is None
 
 
-def test_aborted_exchange_is_removed_from_its_holder_first(held_attempt, holder, results):
+def test_aborted_exchange_is_removed_from_its_holder_first(started_attempt, holder, results):
     holder.remove.side_effect = results.append
 
-    held_attempt.abort(CloseReason.CANCELLED)
+    started_attempt.abort(CloseReason.CANCELLED)
 
-    assert results == [held_attempt, (CloseReason.CANCELLED, True)]
+    assert results == [started_attempt, (CloseReason.CANCELLED, True)]
 
 
-def test_finished_exchange_has_no_timeout(held_attempt):
-    held_attempt.timeout_timer = mock.Mock()
+def test_finished_exchange_has_no_timeout(started_attempt):
+    started_attempt.timeout_timer = mock.Mock()
 
-    held_attempt.finish(CloseReason.RESET_BY_PEER)
+    started_attempt.finish(CloseReason.RESET_BY_PEER)
 
-    held_attempt.timeout_timer.cancel.assert_called_once_with()
+    started_attempt.timeout_timer.cancel.assert_called_once_with()
 
 
 @pytest.mark.parametrize(
     ("written", "reason"), [(0, CloseReason.NOT_SENT), (1, CloseReason.DEADLINE_EXCEEDED)]
 )
-def test_reason_of_a_timeout_says_whether_the_worker_may_have_run_it(held_attempt, results, written, reason):
-    held_attempt.pending_write.written = written
+def test_reason_of_a_timeout_says_whether_the_worker_may_have_run_it(
+    started_attempt, results, written, reason
+):
+    started_attempt.pending_write.written = written
 
-    held_attempt.time_out()
+    started_attempt.time_out()
 
     assert results == [(reason, written > 0)]
 
