--- a/tests/net/test_health_checks.py
+++ b/tests/net/test_health_checks.py
@@ -12,7 +12,7 @@
 from function_router.net.invariants import Invariant
 from function_router.net.not_sent_reason import NotSentReason
 
-GRACE_MS = 5_000.0  # a lease is almost as long, which suffices for the tests on a slow machine
+GRACE_MS = 5_000.0  # a lease lasts almost this long, which is enough even on a slow machine
 
 
 class HealthCheckRecorder:
@@ -200,7 +200,7 @@
 def test_trace_of_a_request_says_why_it_was_not_sent(stale_harness, worker):
     client = stale_harness.connect_client()
     client.send_request(ttl="400")
-    stale_harness.run_until(lambda: worker.received(HEALTH_CHECK), "the worker is asked")
+    stale_harness.run_until(lambda: worker.received(HEALTH_CHECK), "the health check arrives")
     worker.answer(worker.received(HEALTH_CHECK)[-1], DRAINING_ANSWER, fields="")
     stale_harness.run_until(lambda: client.answers, "the request is rejected")
 
@@ -214,7 +214,7 @@
 def test_request_is_served_by_a_worker_that_reports_that_it_is_ready(stale_harness, worker):
     client = stale_harness.connect_client()
     client.send_request()
-    stale_harness.run_until(lambda: worker.received(HEALTH_CHECK), "the worker is asked")
+    stale_harness.run_until(lambda: worker.received(HEALTH_CHECK), "the health check arrives")
     worker.answer(worker.received(HEALTH_CHECK)[-1], READY_ANSWER, fields="")
     stale_harness.run_until(lambda: worker.requests, "the attempt reaches the worker")
     worker.answer(worker.requests[0], body=b"served")
--- a/tests/net/test_invariants.py
+++ b/tests/net/test_invariants.py
@@ -45,9 +45,7 @@
 
 def test_first_byte_to_a_draining_worker_is_counted(harness, worker):
     harness.pool.send(attempt(UNLISTED_WORKER_ID, []))
-    harness.pool.workers[
-        UNLISTED_WORKER_ID
-    ].state = WorkerState.DRAINING  # as if unsent exchanges had not been aborted
+    harness.pool.workers[UNLISTED_WORKER_ID].state = WorkerState.DRAINING  # without an abort of exchanges
 
     harness.run_until(lambda: worker.requests, "the attempt reaches the worker")
 
--- a/tests/net/test_start_order_limit.py
+++ b/tests/net/test_start_order_limit.py
@@ -1,4 +1,4 @@
-"""Tests of the rate limit of start orders, which depends on send times and on requests that stay pending."""
+"""Tests of the rate limit of start orders, which depends on send times and ignores cancelled requests."""
 
 from unittest import mock
 
