--- a/function_router/net/acceptor.py
+++ b/function_router/net/acceptor.py
@@ -11,7 +11,7 @@
 from function_router.net.event_loop import READ, EventLoop
 from function_router.net.receive_timestamps import enable_receive_timestamps
 from function_router.net.sockets import address_family
-from function_router.net.telemetry import ACCEPTED, Telemetry
+from function_router.net.telemetry import CLIENTS_ACCEPTED, Telemetry
 from function_router.net.transient_errors import is_transient
 from function_router.net.unread_since import UnreadSince
 
@@ -24,10 +24,10 @@
 
 
 class AcceptedSocket(Struct, frozen=True):
-    """A socket that was accepted; its client connected at `connected_since_ms` (monotonic) or later."""
+    """A socket that was accepted; its client connected at `earliest_connect_ms` (monotonic) or later."""
 
     sock: socket.socket
-    connected_since_ms: float
+    earliest_connect_ms: float
 
 
 class AcceptorOwner(Protocol):
@@ -76,19 +76,19 @@
         self.address: Address = self._listener.getsockname()[:2]
         self.is_paused = False
         self._unread_since = UnreadSince(loop, monotonic_ms())  # of clients that are not accepted yet
-        self._not_served: list[AcceptedSocket] = []  # to be served after the pause
+        self._deferred_sockets: list[AcceptedSocket] = []  # to be served after the pause
         loop.register(self._listener, READ, self._on_readable)
 
     def _on_readable(self, _mask: int) -> None:
-        self._unread_since.on_reported()
-        self.accept_waiting()
+        self._unread_since.on_reported_readable()
+        self.accept_pending()
 
-    def accept_waiting(self) -> None:
+    def accept_pending(self) -> None:
         """Accept the connections in the system's queue, as far as the limits allow."""
         for _ in range(self._max_accepts_per_turn):
             if self._listener is None:
                 return
-            if not self._owner.ensure_capacity(len(self._not_served)):
+            if not self._owner.ensure_capacity(len(self._deferred_sockets)):
                 self._pause()
                 return
             if not self._accept_one(self._listener):
@@ -99,7 +99,7 @@
         try:
             sock, _ = listener.accept()
         except BlockingIOError:
-            self._unread_since.on_drained()
+            self._unread_since.on_read_empty()
             return False
         except OSError as error:
             if error.errno in (errno.ECONNABORTED, errno.EINTR):
@@ -108,7 +108,7 @@
                 self._telemetry.log(f"accept: {error}")
             self._pause()
             return False
-        self._telemetry.count(ACCEPTED)
+        self._telemetry.count(CLIENTS_ACCEPTED)
         return self._serve(AcceptedSocket(sock, self._unread_since.since_ms))
 
     def _serve(self, accepted: AcceptedSocket) -> bool:
@@ -120,7 +120,7 @@
             self._owner.serve(accepted)
         except OSError as error:
             self._telemetry.log(f"accepted connection: {error}")
-            self._not_served.append(accepted)
+            self._deferred_sockets.append(accepted)
             self._pause()
             return False
         return True
@@ -142,11 +142,11 @@
             self._telemetry.log(f"listener: {error}")
             self._loop.timers.call_later(ACCEPT_PAUSE_MS, self._resume)
             return
-        self._unread_since.on_watched_again()
+        self._unread_since.on_watch_resumed()
         self.is_paused = False
-        not_served = self._not_served
-        self._not_served = []
-        for accepted in not_served:
+        deferred = self._deferred_sockets
+        self._deferred_sockets = []
+        for accepted in deferred:
             self._serve(accepted)
 
     def close(self) -> None:
@@ -156,7 +156,7 @@
                 self._loop.unregister(self._listener)
             self._listener.close()
             self._listener = None
-        for accepted in self._not_served:
+        for accepted in self._deferred_sockets:
             accepted.sock.close()
 
 
--- a/function_router/net/attempts_in_flight.py
+++ b/function_router/net/attempts_in_flight.py
@@ -71,7 +71,7 @@
 
         The decision module's own cancellations do not cover these: the settings may forbid them.
         """
-        for attempt in self._of_request(request):
+        for attempt in self._attempts_of(request):
             self._pool.cancel_if_unsent(attempt)
 
     def _create(self, request: PendingRequest, number: int, worker_id: int) -> Attempt:
@@ -95,9 +95,9 @@
         if request is None:
             return NotSentReason.REQUEST_FINISHED
         request_class = self._classes.get(request.invocation.class_name)
-        return check_request(request, request_class, self._of_request(request), monotonic_ms())
+        return check_request(request, request_class, self._attempts_of(request), monotonic_ms())
 
-    def _of_request(self, request: PendingRequest) -> list[Attempt]:
+    def _attempts_of(self, request: PendingRequest) -> list[Attempt]:
         keys = ((request.key, number) for number in range(request.attempt_count))
         return [self.by_key[key] for key in keys if key in self.by_key]
 
@@ -108,7 +108,7 @@
             attempt, result, reports_in_flight=self._transport.reports_in_flight
         )
         if request := self._requests.by_key.get(key):
-            _record(request, attempt, report)
+            _record_ended_attempt(request, attempt, report)
         if isinstance(result, Answer) and report.outcome is Outcome.OK:
             self._on_served(key, Served(result.body))
         self._loop.submit(
@@ -125,7 +125,7 @@
         )
 
 
-def _record(request: PendingRequest, attempt: Attempt, report: AttemptReport) -> None:
+def _record_ended_attempt(request: PendingRequest, attempt: Attempt, report: AttemptReport) -> None:
     """Record an attempt that has ended in its request, which is still pending."""
     wait_ms = attempt.connection_wait_ms
     request.add_trace_step(f"{attempt.worker_id}: {report.description} connection wait {wait_ms:.0f}")
--- a/function_router/net/client_connection.py
+++ b/function_router/net/client_connection.py
@@ -12,7 +12,7 @@
 from function_router.net.sockets import MAY_HOLD_DATA
 
 # The client closed the connection or does not read its answers, so that nobody waits for one.
-CLOSED_BY_CLIENT = (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER, CloseReason.WRITE_BUFFER_FULL)
+CLIENT_GONE_REASONS = (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER, CloseReason.WRITE_BUFFER_FULL)
 
 # Clients close after 4 s without a request; one that is idle for this long would otherwise never be closed.
 IDLE_TIMEOUT_MS = 30_000.0
@@ -21,11 +21,11 @@
 MIN_STALL_MS = 100.0
 
 # A client with more bytes of unread answers is not read from.
-STOP_READING_BYTES = 64 * 1024
+HIGH_WATER_BYTES = 64 * 1024
 # A client with more bytes of unread answers is disconnected.
-MAX_UNREAD_BYTES = 1024 * 1024
+MAX_UNWRITTEN_BYTES = 1024 * 1024
 # Where all clients together have more, those that are not read from are disconnected: memory is limited.
-MAX_TOTAL_UNREAD_BYTES = 32 * 1024 * 1024
+MAX_TOTAL_UNWRITTEN_BYTES = 32 * 1024 * 1024
 
 
 class ClientConnectionOwner(ClientService, Protocol):
@@ -37,7 +37,7 @@
 
     loop: EventLoop
 
-    def unread_bytes(self) -> int:
+    def unwritten_bytes(self) -> int:
         """Bytes of answers to all clients that have yet to be written."""
 
     def on_client_closed(self, client: "ClientConnection", reason: CloseReason, /) -> None:
@@ -55,11 +55,11 @@
 
     __slots__ = ("__weakref__", "_owner", "connection", "messages", "session")
 
-    def __init__(self, owner: ClientConnectionOwner, sock: socket.socket, connected_since_ms: float) -> None:
-        """Serve an accepted socket, whose client connected at `connected_since_ms` (monotonic) or later."""
+    def __init__(self, owner: ClientConnectionOwner, sock: socket.socket, earliest_connect_ms: float) -> None:
+        """Serve an accepted socket, whose client connected at `earliest_connect_ms` (monotonic) or later."""
         self._owner = owner
         self.messages = ClientMessages()
-        self.connection = Connection.accepted(owner.loop, sock, self, connected_since_ms)
+        self.connection = Connection.accepted(owner.loop, sock, self, earliest_connect_ms)
         self.session = ClientSession(owner, self.connection)
 
     # --- from the connection ------------------------------------------------------------------
@@ -71,7 +71,7 @@
         """Handle the messages that these bytes complete."""
         messages = self.messages.feed(data)
         for number, message in enumerate(messages, 1):
-            if self.connection.is_closed or self.connection.is_finishing:
+            if self.connection.is_closed or self.connection.is_closing:
                 return
             is_last = number == len(messages) and not self.messages.has_partial_message
             self.session.on_message(message, self._age_ms(is_last=is_last))
@@ -92,10 +92,10 @@
 
         While it has pending requests it is read from all the same, as it may cancel them or disconnect.
         """
-        unread_bytes = self.connection.pending_bytes
-        self.connection.set_reading(enabled=unread_bytes < STOP_READING_BYTES or bool(self.session.pending))
-        if unread_bytes > MAX_UNREAD_BYTES or (
-            unread_bytes > STOP_READING_BYTES and self._owner.unread_bytes() > MAX_TOTAL_UNREAD_BYTES
+        unwritten_bytes = self.connection.pending_bytes
+        self.connection.set_reading(enabled=unwritten_bytes < HIGH_WATER_BYTES or bool(self.session.pending))
+        if unwritten_bytes > MAX_UNWRITTEN_BYTES or (
+            unwritten_bytes > HIGH_WATER_BYTES and self._owner.unwritten_bytes() > MAX_TOTAL_UNWRITTEN_BYTES
         ):
             self.connection.close(CloseReason.WRITE_BUFFER_FULL)
 
@@ -105,7 +105,7 @@
     def on_closed(self, reason: CloseReason) -> None:
         """Cancel the pending requests; nobody waits for their answers."""
         pending_count = len(self.session.pending)
-        if pending_count and reason not in CLOSED_BY_CLIENT:
+        if pending_count and reason not in CLIENT_GONE_REASONS:
             detail = f"{reason.name} with {pending_count} requests pending"
             self._owner.telemetry.invariants.record(Invariant.CLOSED_WITH_ANSWERS, detail)
         self.session.cancel_pending()
@@ -124,13 +124,13 @@
 
     def _close_overdue(self) -> None:
         if self.messages.has_received_data:
-            self.session.finish(CloseReason.READ_TIMEOUT)
+            self.session.fail_pending_and_close(CloseReason.READ_TIMEOUT)
         else:
             self.close_unless_data_arrived()
 
     def close_unless_data_arrived(self) -> bool:
         """Close it, unless something that the client sent is yet to be read; whether it was closed."""
-        if self.connection.peek() in MAY_HOLD_DATA and not self.connection.is_finishing:
+        if self.connection.peek() in MAY_HOLD_DATA and not self.connection.is_closing:
             return False
         is_idle = self.messages.has_received_message
         self.connection.close(CloseReason.IDLE if is_idle else CloseReason.READ_TIMEOUT)
@@ -148,7 +148,7 @@
 
     def has_unread_data(self) -> bool:
         """Whether the client has sent something that is unread, or a part of a message."""
-        return not self.connection.is_finishing and (
+        return not self.connection.is_closing and (
             self.messages.has_partial_message or self.connection.peek() in MAY_HOLD_DATA
         )
 
@@ -159,7 +159,7 @@
         others; within each group, those that have been idle for longest.
         """
         return (
-            not self.connection.is_finishing,
+            not self.connection.is_closing,
             self.messages.has_partial_message,
             self.connection.last_used_ms,
         )
--- a/function_router/net/client_listener.py
+++ b/function_router/net/client_listener.py
@@ -65,7 +65,7 @@
         Raises:
             OSError: Where the event loop can't watch it now.
         """
-        client = ClientConnection(self, accepted.sock, accepted.connected_since_ms)
+        client = ClientConnection(self, accepted.sock, accepted.earliest_connect_ms)
         self.connections[client] = None
 
     def ensure_capacity(self, reserved: int) -> bool:
@@ -94,18 +94,18 @@
 
     # --- the connections ------------------------------------------------------------------------
 
-    def unread_bytes(self) -> int:
+    def unwritten_bytes(self) -> int:
         """Bytes of answers to all clients that have yet to be written."""
         return sum(client.connection.pending_bytes for client in self.connections)
 
     def has_unwritten_answers(self) -> bool:
         """Whether an answer to any client has yet to be written."""
-        return self.unread_bytes() > 0
+        return self.unwritten_bytes() > 0
 
     def has_unread_data(self) -> bool:
         """Whether anything that a client sent is unread, also on connections that are yet to be accepted."""
         if not self._acceptor.is_paused:
-            self._acceptor.accept_waiting()
+            self._acceptor.accept_pending()
         return self._acceptor.is_paused or any(client.has_unread_data() for client in self.connections)
 
     def on_client_closed(self, client: ClientConnection, reason: CloseReason) -> None:
--- a/function_router/net/client_messages.py
+++ b/function_router/net/client_messages.py
@@ -14,7 +14,7 @@
 MIN_STEADY_CHUNKS = 3
 # For a whole message, even if its chunks arrive steadily.
 MAX_MESSAGE_MS = 30_000.0
-# For the rest of an oversized message, which was answered with an exception when its head had arrived.
+# For the rest of an oversized message, which was answered with an exception when its header had arrived.
 SKIP_TIMEOUT_MS = 6_000.0
 
 
--- a/function_router/net/client_session.py
+++ b/function_router/net/client_session.py
@@ -71,7 +71,7 @@
             case thrift.MalformedMessageError():
                 self._on_malformed_message(message)
 
-    def finish(self, reason: CloseReason) -> None:
+    def fail_pending_and_close(self, reason: CloseReason) -> None:
         """Fail the pending requests, so that each has its answer, and close once all is written."""
         for seqid, key in list(self.pending.items()):
             self._service.table.cancel_request(key)
@@ -141,7 +141,7 @@
         """
         self._service.telemetry.log(f"client: {error}", LOG_SOURCE)
         if error.seqid is None or error.seqid in self.pending:
-            self.finish(CloseReason.PROTOCOL_ERROR)
+            self.fail_pending_and_close(CloseReason.PROTOCOL_ERROR)
         else:
             self._connection.write(thrift.encode_application_exception(error))
 
--- a/function_router/net/clock.py
+++ b/function_router/net/clock.py
@@ -48,7 +48,7 @@
         """The moment on the monotonic clock at a time of this clock; infinite times stay as they are."""
         return time_ms - self._offset_ms
 
-    def note_wall_clock(self, offset_ms: float) -> None:
+    def record_wall_clock_offset(self, offset_ms: float) -> None:
         """Record by how much the wall clock is ahead of the monotonic one now."""
         offsets_ms = self._wall_clock_offsets_ms
         if abs(offset_ms - offsets_ms[-1]) >= MIN_STEP_MS:
--- a/function_router/net/codecs/thrift.py
+++ b/function_router/net/codecs/thrift.py
@@ -29,7 +29,7 @@
     MAX_BODY_BYTES,
     MAX_FRAME_BYTES,
     FrameReader,
-    parse_head,
+    parse_header,
 )
 from function_router.net.codecs.thrift_writer import (
     encode_application_exception,
@@ -71,5 +71,5 @@
     "encode_string",
     "encode_string_map",
     "encode_throttled",
-    "parse_head",
+    "parse_header",
 ]
--- a/function_router/net/codecs/thrift_arguments.py
+++ b/function_router/net/codecs/thrift_arguments.py
@@ -19,12 +19,12 @@
 )
 
 # How deep values may be nested in a field that is skipped.
-MAX_DEPTH = 16
+MAX_NESTING_DEPTH = 16
 # The service's own map of fields has fewer than ten.
 MAX_MAP_ENTRIES = 64
 
 # Sizes in bytes of the types that no method of the service uses.
-SKIPPED_SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I64: 8}
+SKIPPED_TYPE_SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I64: 8}
 # Bytes of a field id.
 FIELD_ID_SIZE = 2
 # The smallest value of any type takes one byte.
@@ -89,7 +89,7 @@
         return Arguments(values)
 
     def _read_value(self, field_type: int, depth: int) -> Value:
-        if depth > MAX_DEPTH:
+        if depth > MAX_NESTING_DEPTH:
             reason = "values nested too deep"
             raise MalformedMessageError(reason)
         if field_type == STRING:
@@ -143,8 +143,8 @@
         return entries
 
     def _skip_value(self, field_type: int, depth: int) -> None:
-        if field_type in SKIPPED_SIZES:
-            self._skip_bytes(SKIPPED_SIZES[field_type])
+        if field_type in SKIPPED_TYPE_SIZES:
+            self._skip_bytes(SKIPPED_TYPE_SIZES[field_type])
         elif field_type in (LIST, SET):
             self._skip_list(depth)
         elif field_type == STRUCT:
--- a/function_router/net/codecs/thrift_protocol.py
+++ b/function_router/net/codecs/thrift_protocol.py
@@ -74,7 +74,7 @@
 
 
 class TruncatedMessageError(MalformedMessageError):
-    """A message that ends within its head."""
+    """A message that ends within its header."""
 
 
 class Handle(Struct, frozen=True):
--- a/function_router/net/codecs/thrift_reader.py
+++ b/function_router/net/codecs/thrift_reader.py
@@ -31,11 +31,11 @@
 # Of one frame; a body of 16 KiB and its fields take far less.
 MAX_FRAME_BYTES = 48 * 1024
 # Bytes of an oversized frame in which its sequence number is searched for.
-MAX_HEAD_BYTES = 256
+MAX_HEADER_BYTES = 256
 # Of what a function is to be run on.
 MAX_BODY_BYTES = 16 * 1024
 # Of a method's name; those of the service have 8 at most.
-MAX_METHOD_BYTES = 64
+MAX_METHOD_NAME_BYTES = 64
 # Frame sizes are signed integers: a frame that seems to be larger is not Thrift.
 FRAME_SIZE_LIMIT = 2**31
 
@@ -107,12 +107,12 @@
         return skipped
 
     def _oversized_frame_error(self, start: int, size: int) -> MalformedMessageError | None:
-        """The error of a frame that is too large; None until enough of its head has come."""
+        """The error of a frame that is too large; None until enough of its header has come."""
         error = MalformedMessageError(f"a frame of {size} bytes")
         if size >= FRAME_SIZE_LIMIT:
             return error
         try:
-            error.seqid = parse_head(bytes(self._buffer[start : start + MAX_HEAD_BYTES])).seqid
+            error.seqid = parse_header(bytes(self._buffer[start : start + MAX_HEADER_BYTES])).seqid
         except TruncatedMessageError:
             return None
         except MalformedMessageError:
@@ -120,8 +120,8 @@
         return error
 
 
-class MessageHead(NamedTuple):
-    """The head of a message, and the position at which its arguments start."""
+class MessageHeader(NamedTuple):
+    """The header of a message, and the position at which its arguments start."""
 
     message_type: int
     method: str
@@ -129,61 +129,61 @@
     arguments_start: int
 
 
-def parse_head(data: bytes) -> MessageHead:
-    """Parse the head of a message.
+def parse_header(data: bytes) -> MessageHeader:
+    """Parse the header of a message.
 
     Raises:
-        TruncatedMessageError: Where the data ends before the head does.
-        MalformedMessageError: Where it is not a head of the strict binary protocol.
+        TruncatedMessageError: Where the data ends before the header does.
+        MalformedMessageError: Where it is not a header of the strict binary protocol.
     """
     try:
-        return _parse_head(data)
+        return _parse_header(data)
     except struct.error:
         reason = "the message is cut short"
         raise TruncatedMessageError(reason) from None
 
 
-def _parse_head(data: bytes) -> MessageHead:
+def _parse_header(data: bytes) -> MessageHeader:
     (version,) = _U32.unpack_from(data, 0)
     if version & VERSION_MASK != VERSION:
         reason = "not the strict binary protocol"
         raise MalformedMessageError(reason)
     (method_length,) = _I32.unpack_from(data, _U32.size)
-    if not 0 <= method_length <= MAX_METHOD_BYTES:
+    if not 0 <= method_length <= MAX_METHOD_NAME_BYTES:
         reason = "the name has no sensible length"
         raise MalformedMessageError(reason)
     method_end = _METHOD_START + method_length
     method = data[_METHOD_START:method_end].decode("ascii", "replace")
     (seqid,) = _I32.unpack_from(data, method_end)
-    return MessageHead(version & MESSAGE_TYPE_MASK, method, seqid, method_end + _I32.size)
+    return MessageHeader(version & MESSAGE_TYPE_MASK, method, seqid, method_end + _I32.size)
 
 
 def parse_message(data: bytes) -> MessageOrError:
     """Parse the payload of one frame; return the error where it is not a valid message."""
     try:
-        head = parse_head(data)
+        header = parse_header(data)
     except MalformedMessageError as error:
         return error
     try:
-        return _parse_call(head, data)
+        return _parse_call(header, data)
     except MalformedMessageError as error:
         malformed = error
     except (struct.error, UnicodeDecodeError, IndexError):
         malformed = MalformedMessageError("the arguments can't be read")
-    malformed.seqid = head.seqid
-    malformed.method = head.method
+    malformed.seqid = header.seqid
+    malformed.method = header.method
     return malformed
 
 
-def _parse_call(head: MessageHead, data: bytes) -> Message:
-    parse_arguments = _METHODS.get(head.method)
+def _parse_call(header: MessageHeader, data: bytes) -> Message:
+    parse_arguments = _METHODS.get(header.method)
     if parse_arguments is None:
         reason = "no such method"
         raise MalformedMessageError(reason, kind=UNKNOWN_METHOD)
-    if head.message_type not in (CALL, ONEWAY):
+    if header.message_type not in (CALL, ONEWAY):
         reason = "not a call"
         raise MalformedMessageError(reason, kind=INVALID_MESSAGE_TYPE)
-    return parse_arguments(head.seqid, ArgumentReader(data, head.arguments_start).read())
+    return parse_arguments(header.seqid, ArgumentReader(data, header.arguments_start).read())
 
 
 def _parse_handle(seqid: int, arguments: Arguments) -> Handle:
--- a/function_router/net/connection.py
+++ b/function_router/net/connection.py
@@ -11,7 +11,7 @@
 from function_router.net.event_loop import READ, WRITE, EventLoop
 from function_router.net.socket_reader import SocketReader
 from function_router.net.socket_writer import SocketWriter
-from function_router.net.sockets import Unread
+from function_router.net.sockets import PeekResult
 from function_router.net.timer_wheel import Timer
 from function_router.net.write_queue import PendingWrite
 
@@ -78,7 +78,7 @@
         self._connect_timer: Timer | None = None
         self._close_reason_after_flush: CloseReason | None = None
         self._mask = READ if is_connected else WRITE
-        loop.register(sock, self._mask, self._ready)
+        loop.register(sock, self._mask, self._on_ready)
 
     @classmethod
     def accepted(
@@ -94,7 +94,7 @@
 
     @classmethod
     def connect(
-        cls, loop: EventLoop, address: Address, handler: ConnectionHandler, within_ms: float
+        cls, loop: EventLoop, address: Address, handler: ConnectionHandler, timeout_ms: float
     ) -> "Connection | CloseReason":
         """Begin to connect; the handler is notified once that succeeds, fails or takes too long.
 
@@ -110,7 +110,7 @@
             sock.close()
             return reason_of_local_error(error)
         connection._connect_timer = loop.timers.call_later(
-            within_ms, lambda: connection.close(CloseReason.CONNECT_TIMEOUT)
+            timeout_ms, lambda: connection.close(CloseReason.CONNECT_TIMEOUT)
         )
         return connection
 
@@ -169,7 +169,7 @@
 
     # --- reading ------------------------------------------------------------------------------
 
-    def peek(self) -> Unread:
+    def peek(self) -> PeekResult:
         """What would be read next; it stays unread."""
         return sockets.peek(self._sock)
 
@@ -181,7 +181,7 @@
         """Stop or resume reading: backpressure on a peer that does not read its replies."""
         if self._is_reading != enabled and not self.is_closed:
             self._is_reading = enabled
-            self.reader.on_watched_again()
+            self.reader.on_watch_resumed()
             self._update_mask()
 
     def _update_mask(self) -> None:
@@ -190,9 +190,9 @@
         # mask; that is rare, as reading stops only for a peer that does not read its replies.
         if mask and mask != self._mask and not self.is_closed:
             self._mask = mask
-            self.loop.modify(self._sock, mask, self._ready)
+            self.loop.modify(self._sock, mask, self._on_ready)
 
-    def _ready(self, mask: int) -> None:
+    def _on_ready(self, mask: int) -> None:
         if not self.is_connected:
             self._finish_connect()
             return
@@ -213,11 +213,11 @@
         self.last_received_ms = monotonic_ms()
         self.last_used_ms = self.last_received_ms
         self._mask = READ
-        self.loop.modify(self._sock, READ, self._ready)
+        self.loop.modify(self._sock, READ, self._on_ready)
         self.handler.on_connected()
 
     def _read(self) -> None:
-        self.reader.on_reported()
+        self.reader.on_reported_readable()
         for _ in range(MAX_READS_PER_TURN):
             received = self.reader.receive()
             if isinstance(received, CloseReason):
@@ -242,7 +242,7 @@
     # --- closing ------------------------------------------------------------------------------
 
     @property
-    def is_finishing(self) -> bool:
+    def is_closing(self) -> bool:
         """Whether `close_after_flush` was called."""
         return self._close_reason_after_flush is not None
 
--- a/function_router/net/connection_set.py
+++ b/function_router/net/connection_set.py
@@ -6,7 +6,7 @@
 from function_router.net.clock import monotonic_ms
 from function_router.net.close_reason import CloseReason, is_lost
 from function_router.net.pool_resources import PoolResources
-from function_router.net.telemetry import CLOSED, CONNECTS
+from function_router.net.telemetry import WORKER_CONNECTIONS_CLOSED, WORKER_CONNECTS
 from function_router.net.worker_connection import ConnectError, WorkerConnection, WorkerConnectionOwner
 from function_router.net.worker_messages import Exchange, HealthCheck
 
@@ -135,7 +135,7 @@
         )
         self._connections.append(connection)
         resources.budget.on_opened()
-        resources.telemetry.count(CONNECTS)
+        resources.telemetry.count(WORKER_CONNECTS)
 
     def _current(self) -> list[WorkerConnection]:
         """The connections to the present process of the worker."""
@@ -153,7 +153,7 @@
         resources = self._resources
         self._connections.remove(connection)
         resources.budget.on_closed()
-        resources.telemetry.count(CLOSED, reason.name)
+        resources.telemetry.count(WORKER_CONNECTIONS_CLOSED, reason.name)
         if is_lost(reason) and not connection.is_retired:
             self.last_lost_ms = monotonic_ms()
         idle_ms = connection.stale_idle_ms(reason)
--- a/function_router/net/decision_host.py
+++ b/function_router/net/decision_host.py
@@ -39,7 +39,7 @@
             self._loop.timers.call_later(RECOVERY_TIMER_MS, self._fire_recovery_timer)
             decided = self._router.take_actions()  # decided before the exception, as the state records
         for action in decided:
-            self._loop.guard(self._handler_of(action), action)
+            self._loop.call_safely(self._handler_of(action), action)
 
     def _handler_of(self, action: actions.Action) -> Callable[..., None]:  # noqa: PLR0911 (one for each action)
         """The method that carries out an action; mypy reports an action that has none."""
--- a/function_router/net/event_loop.py
+++ b/function_router/net/event_loop.py
@@ -98,9 +98,9 @@
         """Add an event to the next batch; an event submitted while a batch is handled is in the one after."""
         self._pending_events.append(event)
 
-    def flush_later(self, part: Flushable) -> None:
-        """Flush a part at the end of the turn, once however often this is called."""
-        self._to_flush[part] = None
+    def flush_later(self, flushable: Flushable) -> None:
+        """Flush a flushable at the end of the turn, once however often this is called."""
+        self._to_flush[flushable] = None
 
     # --- turns --------------------------------------------------------------------------------
 
@@ -153,7 +153,7 @@
         self.turn_started_unix_ms = unix_ms()
         offset_ms = self.turn_started_unix_ms - self.turn_started_ms
         self.wall_clock_step_ms = offset_ms - previous_offset_ms
-        self.clock.note_wall_clock(offset_ms)
+        self.clock.record_wall_clock_offset(offset_ms)
 
     def _wait_s(self, max_wait_s: float | None) -> float | None:
         """How long the next poll may wait for a socket; None where there is no limit."""
@@ -172,13 +172,13 @@
         if self._pending_events:
             events = self._pending_events
             self._pending_events = []
-            self.guard(self._decide, now_ms, events)
+            self.call_safely(self._decide, now_ms, events)
         if self._to_flush and monotonic_ms() - self.turn_started_ms > MAX_POLL_AGE_MS:
             self._poll_again()
         to_flush = self._to_flush
         self._to_flush = {}
-        for part in to_flush:
-            self.guard(part.flush)
+        for flushable in to_flush:
+            self.call_safely(flushable.flush)
 
     def _call_ready(self, ready: ReadySockets) -> None:
         for key, mask in ready:
@@ -186,7 +186,7 @@
             # another one by now, or may have changed what it is watched for.
             current = self._selector.get_map().get(key.fd)
             if current is not None and current.fileobj is key.fileobj and mask & current.events:
-                self.guard(current.data, mask & current.events)
+                self.call_safely(current.data, mask & current.events)
 
     def _poll_again(self) -> None:
         """Read what has arrived during a long turn, then notify the parts with queued writes of the delay.
@@ -194,12 +194,12 @@
         A cancellation or a disconnect that is read here still takes back what was not written yet.
         """
         self._call_ready(self._poll(0.0))
-        for part in list(self._to_flush):
-            self.guard(part.on_delayed)
+        for flushable in list(self._to_flush):
+            self.call_safely(flushable.on_delayed)
 
     # --- exceptions ---------------------------------------------------------------------------
 
-    def guard(self, callback: Callable[..., None], *arguments: object) -> None:
+    def call_safely(self, callback: Callable[..., None], *arguments: object) -> None:
         """Call a callback; an exception that it raises is logged and goes no further."""
         try:
             callback(*arguments)
--- a/function_router/net/pending_requests.py
+++ b/function_router/net/pending_requests.py
@@ -43,7 +43,7 @@
             self._keys_by_client_id.pop(invocation.request_id, None)
         return request
 
-    def with_client_id(self, client_request_id: bytes) -> PendingRequest | None:
+    def find_by_client_id(self, client_request_id: bytes) -> PendingRequest | None:
         """The request to which its client gave this id; None where there is none."""
         key = self._keys_by_client_id.get(client_request_id)
         return None if key is None else self.by_key[key]
--- a/function_router/net/request_table.py
+++ b/function_router/net/request_table.py
@@ -75,7 +75,7 @@
             loop, pool, revalidate_start_order, self._requests.add_trace_step
         )
         self._health_checker = HealthChecker(loop, pool, self._requests.add_trace_step, telemetry)
-        self._batch_ms = 0.0  # when the batch whose actions are being carried out was handled
+        self._batch_time_ms = 0.0  # when the batch whose actions are being carried out was handled
         self._shutdown_at_ms = math.inf  # from then on the process may be killed
 
     @property
@@ -113,12 +113,12 @@
 
     def is_pending(self, client_request_id: bytes) -> bool:
         """Whether a request with this id is pending and its client still connected."""
-        request = self._requests.with_client_id(client_request_id)
+        request = self._requests.find_by_client_id(client_request_id)
         return request is not None and request.client_request.is_client_connected()
 
     def cancel_request(self, key: str) -> None:
         """Drop a request whose client no longer waits: it gets no answer."""
-        if request := self._close(key):
+        if request := self._remove(key):
             self._submit_cancelled(request)
 
     # --- from the process ---------------------------------------------------------------------
@@ -135,7 +135,7 @@
 
     def begin_batch(self, now_ms: float) -> None:
         """Note that the decision module is about to handle a batch of events, at this time of its clock."""
-        self._batch_ms = now_ms
+        self._batch_time_ms = now_ms
         self._recently_finished.begin_batch()
 
     # --- from the decision module -------------------------------------------------------------
@@ -169,7 +169,7 @@
 
     def ensure_instances(self, action: EnsureInstances) -> None:
         """Send a start order or a probe."""
-        self._start_orders.send(action, decided_at_ms=self._batch_ms)
+        self._start_orders.send(action, decided_at_ms=self._batch_time_ms)
 
     def check_health(self, action: CheckHealth) -> None:
         """Ask a worker whether it is ready or draining."""
@@ -198,13 +198,13 @@
 
     def _finish(self, key: str, answer: FinalAnswer) -> None:
         """Answer a request, unless it is no longer pending."""
-        if request := self._close(key):
+        if request := self._remove(key):
             request.client_request.reply(answer)
             self._telemetry.count(ANSWERS, answer.name)
-            self._check_in_time(request)
+            self._check_lateness(request)
             self._log_trace(request, answer)
 
-    def _close(self, key: str) -> PendingRequest | None:
+    def _remove(self, key: str) -> PendingRequest | None:
         """Take a request out of the table; None where it is no longer pending."""
         request = self._requests.remove(key)
         if request:
@@ -216,7 +216,7 @@
     def _submit_cancelled(self, request: PendingRequest) -> None:
         self._loop.submit(RequestCancelled(request.key, request.invocation.request_id.hex()))
 
-    def _check_in_time(self, request: PendingRequest) -> None:
+    def _check_lateness(self, request: PendingRequest) -> None:
         late_ms = monotonic_ms() - request.deadline_ms
         if late_ms > MAX_LATENESS_MS:
             detail = f"{request.key}: {late_ms:.0f} ms late"
--- a/function_router/net/router_process.py
+++ b/function_router/net/router_process.py
@@ -46,7 +46,7 @@
     Args:
         config: the whole configuration.
         log: where log lines go; None: to standard error.
-        reread: reads the configuration again at each SIGHUP; None: SIGHUP changes nothing.
+        read_config: reads the configuration again at each SIGHUP; None: SIGHUP changes nothing.
 
     Raises:
         ConfigurationError: An initial event of the configuration is invalid.
@@ -71,7 +71,7 @@
         self,
         config: RouterConfig,
         log: RateLimitedLog | None = None,
-        reread: Callable[[], RouterConfig] | None = None,
+        read_config: Callable[[], RouterConfig] | None = None,
     ) -> None:
         self.config = config
         self.log = log or RateLimitedLog(config.name or DEFAULT_LOG_NAME)
@@ -88,8 +88,8 @@
         classes = config.settings.classes.values()
         self.drain = Drain(self.loop, self.listener, self.table, classes, self.log)
         self.reload: ConfigurationReload | None = None
-        if reread is not None:
-            self.reload = ConfigurationReload(config, reread, self.loop, self.endpoint_watch, self.log)
+        if read_config is not None:
+            self.reload = ConfigurationReload(config, read_config, self.loop, self.endpoint_watch, self.log)
 
     def _create_pool(self) -> WorkerPool:
         max_connections = _max_connections(self.config.max_sockets, WORKER_SHARE)
--- a/function_router/net/signal_wakeup.py
+++ b/function_router/net/signal_wakeup.py
@@ -23,22 +23,22 @@
     def __init__(self, handlers: Mapping[int, Callable[[], None]]) -> None:
         """Receive signals from now on; the handlers are given by signal number."""
         self._handlers = handlers
-        self.sock, self._far_end = socket.socketpair()
+        self.sock, self._write_end = socket.socketpair()
         self.sock.setblocking(False)
-        self._far_end.setblocking(False)
-        signal.set_wakeup_fd(self._far_end.fileno(), warn_on_full_buffer=False)
+        self._write_end.setblocking(False)
+        signal.set_wakeup_fd(self._write_end.fileno(), warn_on_full_buffer=False)
         for number in handlers:
             signal.signal(number, lambda *_: None)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, handlers)
 
     def on_readable(self, _mask: int) -> None:
         """Call the handlers of the signals that have arrived, in their order."""
-        for number in self._read_numbers():
+        for number in self._read_signal_numbers():
             handler = self._handlers.get(number)
             if handler:
                 handler()
 
-    def _read_numbers(self) -> bytes:
+    def _read_signal_numbers(self) -> bytes:
         """The numbers of the signals that have arrived; none where the read fails for a moment."""
         try:
             return self.sock.recv(MAX_SIGNALS_PER_READ)
@@ -51,4 +51,4 @@
         """Receive no more signals."""
         signal.set_wakeup_fd(-1)
         self.sock.close()
-        self._far_end.close()
+        self._write_end.close()
--- a/function_router/net/socket_reader.py
+++ b/function_router/net/socket_reader.py
@@ -30,13 +30,13 @@
         self._sock = sock
         self._unread_since = UnreadSince(loop, unread_since_ms)
 
-    def on_reported(self) -> None:
+    def on_reported_readable(self) -> None:
         """The last poll reported the socket as readable."""
-        self._unread_since.on_reported()
+        self._unread_since.on_reported_readable()
 
-    def on_watched_again(self) -> None:
+    def on_watch_resumed(self) -> None:
         """The event loop did not watch the socket for reading for a while."""
-        self._unread_since.on_watched_again()
+        self._unread_since.on_watch_resumed()
 
     def receive(self) -> bytes | CloseReason | None:
         """Read up to MAX_READ_BYTES.
@@ -48,7 +48,7 @@
         try:
             data, ancillary, _, _ = self._sock.recvmsg(MAX_READ_BYTES, ANCILLARY_BYTES)
         except BlockingIOError:
-            self._unread_since.on_drained()
+            self._unread_since.on_read_empty()
             return None
         except OSError as error:
             # After a transient error the socket is still readable, so that the next turn tries again.
@@ -68,4 +68,4 @@
         There is probably more where a read was full. A socket that has been readable at each poll for long
         is read until nothing is left, as only that proves that what comes next is new.
         """
-        return len(data) >= MAX_READ_BYTES or self._unread_since.should_drain()
+        return len(data) >= MAX_READ_BYTES or self._unread_since.should_read_until_empty()
--- a/function_router/net/sockets.py
+++ b/function_router/net/sockets.py
@@ -10,7 +10,7 @@
 from function_router.net.transient_errors import is_transient
 
 
-class Unread(Enum):
+class PeekResult(Enum):
     """What a peek at a socket finds."""
 
     NOTHING = auto()
@@ -19,7 +19,7 @@
     UNKNOWN = auto()  # the peek failed for a moment
 
 
-MAY_HOLD_DATA = (Unread.DATA, Unread.UNKNOWN)
+MAY_HOLD_DATA = (PeekResult.DATA, PeekResult.UNKNOWN)
 """The results of a peek after which something may be unread."""
 
 
@@ -61,21 +61,21 @@
     return OSError(error_number, "connect") if error_number else None
 
 
-def peek(sock: socket.socket) -> Unread:
+def peek(sock: socket.socket) -> PeekResult:
     """What would be read next from a non-blocking socket; it stays unread."""
     try:
-        return Unread.DATA if sock.recv(1, socket.MSG_PEEK) else Unread.END
+        return PeekResult.DATA if sock.recv(1, socket.MSG_PEEK) else PeekResult.END
     except BlockingIOError:
-        return Unread.NOTHING
+        return PeekResult.NOTHING
     except OSError as error:
-        return Unread.UNKNOWN if is_transient(error) else Unread.END
+        return PeekResult.UNKNOWN if is_transient(error) else PeekResult.END
 
 
 def has_peer_closed(sock: socket.socket) -> bool:
     """Whether the peer has closed, even if bytes that it sent before are still unread."""
     unread = peek(sock)
-    if unread is not Unread.DATA:
-        return unread is Unread.END
+    if unread is not PeekResult.DATA:
+        return unread is PeekResult.END
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return any(mask & select.POLLRDHUP for _, mask in poll.poll(0))
--- a/function_router/net/timer_wheel.py
+++ b/function_router/net/timer_wheel.py
@@ -13,7 +13,7 @@
 # The resolution: a timer fires at most one tick late.
 TICK_MS = 4.0
 # The wheel turns round in about two seconds; timers with longer delays stay on it for several rounds.
-SLOTS = 512
+SLOT_COUNT = 512
 
 
 class Timer(Struct, eq=False):
@@ -42,7 +42,7 @@
     def __init__(self, read_monotonic_ms: Callable[[], float] = monotonic_ms) -> None:
         """Create an empty wheel that starts now."""
         self._read_monotonic_ms = read_monotonic_ms
-        self._slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
+        self._slots: list[list[Timer]] = [[] for _ in range(SLOT_COUNT)]
         self._tick = math.floor(read_monotonic_ms() / TICK_MS)  # the last one whose timers have fired
         self.on_exception: Callable[[str], None] = _ignore_exception
 
@@ -50,7 +50,7 @@
         """Call a callback once, after a delay; a negative delay counts as none."""
         due_tick = math.floor((self._read_monotonic_ms() + max(0.0, delay_ms)) / TICK_MS) + 1
         timer = Timer(max(due_tick, self._tick + 1), callback)
-        self._slots[timer.due_tick % SLOTS].append(timer)
+        self._slots[timer.due_tick % SLOT_COUNT].append(timer)
         return timer
 
     def advance(self, at_ms: float | None = None) -> None:
@@ -64,11 +64,11 @@
 
     def _take_due(self, now_tick: int) -> list[Timer]:
         """Take the timers that are due off the wheel, in the order of their ticks."""
-        first_tick = max(self._tick + 1, now_tick - SLOTS + 1)  # one round visits every slot
+        first_tick = max(self._tick + 1, now_tick - SLOT_COUNT + 1)  # one round visits every slot
         self._tick = max(self._tick, now_tick)
         due: list[Timer] = []
         for tick in range(first_tick, now_tick + 1):
-            slot = self._slots[tick % SLOTS]
+            slot = self._slots[tick % SLOT_COUNT]
             if slot:
                 due += [timer for timer in slot if timer.due_tick <= now_tick]
                 slot[:] = [timer for timer in slot if timer.due_tick > now_tick and timer.callback]
@@ -82,8 +82,8 @@
 
     def seconds_until_next(self) -> float | None:
         """How long the event loop may sleep, in seconds; None where no timer is set."""
-        for tick in range(self._tick + 1, self._tick + 1 + SLOTS):
-            slot = self._slots[tick % SLOTS]
+        for tick in range(self._tick + 1, self._tick + 1 + SLOT_COUNT):
+            slot = self._slots[tick % SLOT_COUNT]
             if any(timer.callback for timer in slot):
                 return max(0.0, tick * TICK_MS - self._read_monotonic_ms()) / 1000.0
         return None
--- a/function_router/net/unread_since.py
+++ b/function_router/net/unread_since.py
@@ -31,20 +31,20 @@
         """The longest time for which what is unread can have waited when this turn began."""
         return max(0.0, self._loop.turn_started_ms - self._since_ms)
 
-    def on_reported(self) -> None:
+    def on_reported_readable(self) -> None:
         """The last poll reported the socket as readable."""
         if self._last_reported_poll < self._loop.poll_count - 1:
             self._since_ms = self._loop.previous_poll_ms
         self._last_reported_poll = self._loop.poll_count
 
-    def on_drained(self) -> None:
+    def on_read_empty(self) -> None:
         """A read found nothing."""
         self._since_ms = self._loop.turn_started_ms
 
-    def on_watched_again(self) -> None:
+    def on_watch_resumed(self) -> None:
         """The socket was not watched for a while, so that the polls up to now prove nothing."""
         self._last_reported_poll = self._loop.poll_count
 
-    def should_drain(self) -> bool:
+    def should_read_until_empty(self) -> bool:
         """Whether the socket was readable at each poll for so long that it should be read until empty."""
         return self.max_wait_ms > MAX_READABLE_INTERVAL_MS
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -14,7 +14,7 @@
 from function_router.net.event_loop import EventLoop
 from function_router.net.readiness import ReadinessGate
 from function_router.net.send_checks import check_exchange, check_readiness, start_violations
-from function_router.net.sockets import Unread
+from function_router.net.sockets import PeekResult
 from function_router.net.telemetry import Telemetry
 from function_router.net.timer_wheel import Timer
 from function_router.net.worker_messages import Attempt, Exchange
@@ -161,7 +161,7 @@
 
     def has_reached_end_of_stream(self) -> bool:
         """Whether the worker has closed it, with nothing unread before that."""
-        return self.connection.peek() is Unread.END
+        return self.connection.peek() is PeekResult.END
 
     def stale_idle_ms(self, reason: CloseReason) -> float | None:
         """For how long it had been idle, if it broke as soon as it was used again; None if it didn't.
--- a/function_router/server.py
+++ b/function_router/server.py
@@ -42,7 +42,7 @@
     """
     config = retry_at_start(lambda: configuration.load(path))
     try:
-        return retry_at_start(lambda: RouterProcess(config, reread=lambda: configuration.load(path)))
+        return retry_at_start(lambda: RouterProcess(config, read_config=lambda: configuration.load(path)))
     except OSError as error:
         problem = f"{error.strerror}: {config.listen}"
         raise configuration.ConfigurationError(configuration.LISTEN_KEY, problem) from None
--- a/soak/thrift_messages.py
+++ b/soak/thrift_messages.py
@@ -58,7 +58,7 @@
 
 def decode_answer(message: bytes, at: float) -> tuple[int, ClientAnswer]:
     """The sequence number and the answer in a message without its size, which arrived at a time."""
-    head = thrift.parse_head(message)
+    head = thrift.parse_header(message)
     if head.message_type == thrift.EXCEPTION:
         return head.seqid, ClientAnswer(AnswerKind.EXCEPTION, at)
     _, result_id = _FIELD.unpack_from(message, head.arguments_start)
--- a/tests/helpers/client_messages.py
+++ b/tests/helpers/client_messages.py
@@ -67,7 +67,7 @@
 
 def decode_answer(message):
     """The answer in a message, which is a frame without its length."""
-    message_type, _, seqid, offset = thrift.parse_head(message)
+    message_type, _, seqid, offset = thrift.parse_header(message)
     if message_type == thrift.EXCEPTION:
         return Answer(seqid, AnswerKind.EXCEPTION, message[offset:])
     _, field_number = struct.unpack_from(FIELD_HEADER, message, offset)
--- a/tests/net/test_acceptor.py
+++ b/tests/net/test_acceptor.py
@@ -61,7 +61,7 @@
     return connect_clients
 
 
-def test_half_of_the_connections_at_most_are_accepted_in_one_turn(loop, owner, connect):
+def test_at_most_half_of_the_connections_are_accepted_in_one_turn(loop, owner, connect):
     connect(3)
 
     loop.run_once(0)
@@ -87,7 +87,9 @@
     assert not acceptor.is_paused
 
 
-def test_socket_that_cannot_be_served_is_kept_and_served_later(loop, run_until, owner, connect, log_lines):
+def test_socket_that_cannot_be_served_is_deferred_and_served_later(
+    loop, run_until, owner, connect, log_lines
+):
     owner.failures = 2
     connect(1)
 
@@ -100,17 +102,17 @@
     assert set(owner.reserved) == {0}
 
 
-def test_kept_socket_counts_against_the_capacity(loop, acceptor, owner, connect):
+def test_deferred_socket_counts_against_the_capacity(loop, acceptor, owner, connect):
     owner.failures = 1
     connect(1)
     loop.run_once(0)
 
-    acceptor.accept_waiting()
+    acceptor.accept_pending()
 
     assert owner.reserved == [0, 1]
 
 
-def test_accept_without_a_file_descriptor_is_tried_again_and_not_logged(
+def test_accept_without_a_file_descriptor_is_retried_and_not_logged(
     loop, run_until, acceptor, owner, connect, log_lines
 ):
     connect(1)
@@ -129,11 +131,11 @@
     owner.failures = 1
     connect(1)
     loop.run_once(0)
-    [kept] = acceptor._not_served
+    [deferred] = acceptor._deferred_sockets
     address = acceptor.address
 
     acceptor.close()
 
-    assert kept.sock.fileno() == -1
+    assert deferred.sock.fileno() == -1
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address)
--- a/tests/net/test_attempt_report.py
+++ b/tests/net/test_attempt_report.py
@@ -34,7 +34,7 @@
         (Outcome.NOT_LOADED, 3, None),
     ],
 )
-def test_in_flight_is_bounded_and_reported_of_some_outcomes(attempt, outcome, in_flight, reported):
+def test_in_flight_is_bounded_and_reported_for_some_outcomes(attempt, outcome, in_flight, reported):
     answer = make_answer(outcome, in_flight)
 
     report = AttemptReport.from_result(attempt, answer, reports_in_flight=True)
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -22,7 +22,7 @@
     socket_reader,
 )
 from function_router.net.event_loop import READ
-from function_router.net.sockets import Unread
+from function_router.net.sockets import PeekResult
 
 WITHOUT_CANCEL = {"bounds": {**SETTINGS["bounds"], "cancel": False}}
 
@@ -33,10 +33,10 @@
 def connect_accepted_client(harness):
     """A new client and the router's side of its connection."""
     connections = harness.router_process.listener.connections
-    known = set(connections)
+    known_connections = set(connections)
     client = harness.connect_client()
-    harness.run_until(lambda: len(connections) > len(known), "it is accepted")
-    [served] = set(connections) - known
+    harness.run_until(lambda: len(connections) > len(known_connections), "it is accepted")
+    [served] = set(connections) - known_connections
     return client, served
 
 
@@ -53,7 +53,7 @@
 def read_in_one_turn(harness, served):
     """Read what has arrived on the connection and carry out what follows from it."""
     assert wait_readable(served.connection._sock)
-    served.connection._ready(READ)
+    served.connection._on_ready(READ)
     harness.router_process.loop._run_turn([], harness.router_process.loop.clock.now_ms())
 
 
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("settings", [WITHOUT_CANCEL, {}], ids=["without cancel", "with cancel"])
 @pytest.mark.parametrize("unread", [b"", b"x" * 500], ids=["nothing unread", "unread bytes"])
-def test_request_whose_client_has_closed_behind_it_is_not_sent(start_router, settings, unread):
+def test_request_is_not_sent_once_its_client_has_closed(start_router, settings, unread):
     harness, worker = start_with_warm_instances(start_router, settings=settings)
     client, served = connect_accepted_client(harness)
     client.send_request()
@@ -122,7 +122,7 @@
     harness.round_trip(client)
     [served] = harness.router_process.listener.connections
 
-    with mock.patch.object(client_connection, "MAX_UNREAD_BYTES", 8 * 1024 * 1024):
+    with mock.patch.object(client_connection, "MAX_UNWRITTEN_BYTES", 8 * 1024 * 1024):
         served.connection.write(b"x" * 7_000_000)
         harness.router_process.loop.run_once(0)
         harness.router_process.loop.run_once(0)
@@ -140,10 +140,10 @@
     queueing_harness.run_until(lambda: queueing_harness.table.pending, "the request is admitted")
     client.receive = lambda: None  # it reads no more
 
-    with mock.patch.object(client_connection, "MAX_UNREAD_BYTES", 16 * 1024 * 1024):
+    with mock.patch.object(client_connection, "MAX_UNWRITTEN_BYTES", 16 * 1024 * 1024):
         served.connection.write(b"x" * 12_000_000)
         queueing_harness.router_process.loop.run_once(0)
-        assert served.connection.pending_bytes > client_connection.STOP_READING_BYTES
+        assert served.connection.pending_bytes > client_connection.HIGH_WATER_BYTES
         if disconnects:
             client.sock.shutdown(socket.SHUT_WR)
         else:
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("after_a_message", [False, True], ids=["first message", "later message"])
-def test_request_in_chunks_is_admitted_as_long_as_they_keep_coming(queueing_harness, after_a_message):
+def test_request_is_admitted_as_long_as_its_chunks_keep_arriving(queueing_harness, after_a_message):
     client = queueing_harness.connect_client()
     if after_a_message:
         queueing_harness.round_trip(client)
@@ -183,7 +183,7 @@
 
     client.send_request(withhold=50)
     for _ in range(5):
-        queueing_harness.run_until(lambda: served.connection.peek() is Unread.NOTHING, "a chunk is read")
+        queueing_harness.run_until(lambda: served.connection.peek() is PeekResult.NOTHING, "a chunk is read")
         served.messages._waiting_since_ms -= client_messages.MESSAGE_TIMEOUT_MS
         queueing_harness.router_process.listener.check_timeouts()
         client.send_withheld(10)
@@ -191,14 +191,14 @@
     queueing_harness.run_until(lambda: queueing_harness.table.pending, "the request is admitted")
 
 
-def test_message_that_has_come_in_several_chunks_may_pause_for_longer(queueing_harness):
+def test_longer_pause_is_allowed_in_a_message_of_several_chunks(queueing_harness):
     client = queueing_harness.connect_client()
     client.send_request(withhold=50)
     served = queueing_harness.only_client_connection()
 
     overdue = []
     for _ in range(3):
-        queueing_harness.run_until(lambda: served.connection.peek() is Unread.NOTHING, "a chunk is read")
+        queueing_harness.run_until(lambda: served.connection.peek() is PeekResult.NOTHING, "a chunk is read")
         last_received_ms = served.connection.last_received_ms
         overdue.append(is_overdue(served, last_received_ms + client_messages.MESSAGE_TIMEOUT_MS))
         served.messages._waiting_since_ms = last_received_ms - client_messages.MESSAGE_TIMEOUT_MS
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -77,7 +77,7 @@
     assert not served.connection.is_closed
 
 
-def test_connection_and_listener_that_cannot_be_watched_at_once_are_served_later(queueing_harness):
+def test_connection_and_listener_that_cannot_be_registered_are_served_later(queueing_harness):
     loop = queueing_harness.router_process.loop
     register = loop.register
     failures = [errno.ENOMEM, errno.ENOMEM, errno.ENOSPC]
--- a/tests/net/test_client_messages.py
+++ b/tests/net/test_client_messages.py
@@ -46,7 +46,7 @@
     assert not messages.is_overdue(CONNECTED_AT_MS + 10 * MAX_MESSAGE_MS, CONNECTED_AT_MS)
 
 
-def test_partial_message_is_overdue_once_no_chunk_has_come_for_the_chunk_timeout(messages):
+def test_partial_message_is_overdue_once_no_chunk_has_arrived_for_the_chunk_timeout(messages):
     messages.feed(FRAME[:9])
     now_ms = CONNECTED_AT_MS + MESSAGE_TIMEOUT_MS + 1.0
 
@@ -54,7 +54,7 @@
     assert messages.is_overdue(now_ms, last_received_ms=now_ms - CHUNK_TIMEOUT_MS - 1.0)
 
 
-def test_partial_message_is_overdue_in_the_end_however_steadily_it_comes(messages):
+def test_partial_message_is_overdue_eventually_however_steadily_it_arrives(messages):
     messages.feed(FRAME[:9])
     deadline_ms = CONNECTED_AT_MS + MAX_MESSAGE_MS
 
--- a/tests/net/test_client_session.py
+++ b/tests/net/test_client_session.py
@@ -25,7 +25,7 @@
     assert len(harness.table.pending) == 1
 
 
-def test_bytes_without_a_sequence_number_end_only_their_own_connection(harness, worker):
+def test_bytes_without_a_sequence_number_close_only_their_own_connection(harness, worker):
     malformed = harness.connect_client()
     valid = harness.connect_client()
 
@@ -36,7 +36,7 @@
     assert not valid.is_closed
 
 
-def test_error_in_a_handler_ends_only_its_own_connection(harness, worker):
+def test_exception_in_a_handler_closes_only_its_own_connection(harness, worker):
     failing = harness.connect_client()
     other = harness.connect_client()
 
@@ -60,7 +60,7 @@
     assert len(queueing_harness.table.pending) == 32
 
 
-def test_sequence_number_of_a_pending_request_used_again_ends_the_connection(queueing_harness):
+def test_reused_sequence_number_of_a_pending_request_closes_the_connection(queueing_harness):
     client = queueing_harness.connect_client()
 
     client.send_request(seqid=5)
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -38,7 +38,7 @@
     assert clock.now_ms() - before_ms == pytest.approx(100.0, abs=1.0)
 
 
-def test_spans_are_real_time_long_after_a_step(system, clock):
+def test_elapsed_time_stays_exact_long_after_a_step(system, clock):
     system.unix_ms += 3_600_000.0
     before_ms = clock.now_ms()
 
--- a/tests/net/test_connection.py
+++ b/tests/net/test_connection.py
@@ -12,10 +12,10 @@
 from function_router.net import connection as connection_module
 from function_router.net.close_reason import CloseReason
 from function_router.net.connection import Connection
-from function_router.net.sockets import Unread
+from function_router.net.sockets import PeekResult
 from function_router.net.write_queue import MAX_WRITES_PER_CALL
 
-MORE_THAN_SOCKETS_BUFFER = 16 * 1024 * 1024
+LARGER_THAN_SOCKET_BUFFER = 16 * 1024 * 1024
 CONNECT_TIMEOUT_MS = 5_000.0
 
 
@@ -37,7 +37,7 @@
 
 def test_partial_writes_arrive_whole_and_in_order(accept, loop, run_until, handler):
     connection, peer = accept(handler)
-    large = bytes(range(256)) * (MORE_THAN_SOCKETS_BUFFER // 256)
+    large = bytes(range(256)) * (LARGER_THAN_SOCKET_BUFFER // 256)
     first = connection.write(large)
     last = connection.write(b"end")
 
@@ -81,13 +81,13 @@
 
 def test_write_that_was_begun_cannot_be_cancelled(accept, loop, handler):
     connection, _ = accept(handler)
-    large = connection.write(bytes(MORE_THAN_SOCKETS_BUFFER))
+    large = connection.write(bytes(LARGER_THAN_SOCKET_BUFFER))
     loop.run_once(0)
 
     is_cancelled = connection.cancel_write(large)
 
     assert not is_cancelled
-    assert connection.pending_bytes == MORE_THAN_SOCKETS_BUFFER - large.written
+    assert connection.pending_bytes == LARGER_THAN_SOCKET_BUFFER - large.written
 
 
 def test_write_that_is_complete_cannot_be_cancelled(accept, run_until, handler):
@@ -117,7 +117,7 @@
 # --- reading --------------------------------------------------------------------------------------
 
 
-def test_read_and_write_that_fail_for_a_moment_are_tried_again(accept, run_until, handler):
+def test_read_and_write_are_retried_after_transient_errors(accept, run_until, handler):
     connection, peer = accept(
         handler, lambda sock: FailingAtFirstSocket(sock, errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
     )
@@ -146,25 +146,29 @@
     assert ["boom" in line for line in log_lines] == [True]
 
 
-def test_close_by_the_peer_is_seen_behind_unread_bytes(accept, handler):
+def test_close_by_the_peer_is_detected_behind_unread_bytes(accept, handler):
     connection, peer = accept(handler)
     before = (connection.peek(), connection.has_peer_closed())
 
     peer.sock.send(b"unread")
     peer.sock.shutdown(socket.SHUT_WR)
 
-    assert before == (Unread.NOTHING, False)
-    assert connection.peek() is Unread.DATA
+    assert before == (PeekResult.NOTHING, False)
+    assert connection.peek() is PeekResult.DATA
     assert connection.has_peer_closed()
 
 
-def test_peek_that_fails_for_a_moment_is_no_end_of_the_connection(accept, handler):
+def test_transient_peek_error_does_not_count_as_a_close_by_the_peer(accept, handler):
     connection, peer = accept(handler, lambda sock: FailingAtFirstSocket(sock, errno.ENOMEM, errno.ENOBUFS))
-    ends_seen = [connection.has_peer_closed(), connection.has_peer_closed(), connection.has_peer_closed()]
+    closes_detected = [
+        connection.has_peer_closed(),
+        connection.has_peer_closed(),
+        connection.has_peer_closed(),
+    ]
 
     peer.sock.close()
 
-    assert ends_seen == [False, False, False]
+    assert closes_detected == [False, False, False]
     assert connection._sock.left["recv"] == []
     assert connection.has_peer_closed()
 
@@ -183,7 +187,7 @@
     peer.sock.close()
     run_until(lambda: connection.is_closed)
 
-    assert connection.is_finishing
+    assert connection.is_closing
     assert bytes(peer.data) == b"reply"
     assert not was_closed_before_peer
     assert handler.data == b""
@@ -266,7 +270,7 @@
     assert handler.close_reasons == []
 
 
-def test_connect_that_cannot_be_watched_returns_the_reason(loop, listener, handler):
+def test_connect_that_cannot_be_registered_returns_the_reason(loop, listener, handler):
     register = loop.register
 
     with mock.patch.object(loop, "register", side_effect=OSError(errno.ENOMEM, "epoll_ctl")):
@@ -277,7 +281,7 @@
     assert handler.close_reasons == []
 
 
-def test_connect_that_a_signal_interrupts_comes_up_all_the_same(loop, listener, run_until, handler):
+def test_connect_interrupted_by_a_signal_succeeds(loop, listener, run_until, handler):
     with mock.patch.object(connection_module.socket.socket, "connect_ex", connect_interrupted):
         Connection.connect(loop, listener.getsockname(), handler, CONNECT_TIMEOUT_MS)
     run_until(lambda: handler.is_connected)
--- a/tests/net/test_decision_host.py
+++ b/tests/net/test_decision_host.py
@@ -57,7 +57,7 @@
     carry_out.assert_called_once_with(action)
 
 
-def test_timer_comes_back_as_an_event_after_its_delay(harness):
+def test_timer_event_is_submitted_after_its_delay(harness):
     process = harness.router_process
 
     handle_with_actions(harness, actions.SetTimer(delay_ms=1.0, token=7))
@@ -76,7 +76,7 @@
 # --- exceptions
 
 
-def test_action_that_raises_leaves_the_others_and_the_process_alone(harness):
+def test_exception_in_an_action_does_not_affect_other_actions(harness):
     with mock.patch.object(RequestTable, "send", side_effect=OSError):
         handle_with_actions(harness, actions.SendRequest("r1", 11), actions.LogMessage("after"))
     harness.round_trip(harness.connect_client())
@@ -85,7 +85,7 @@
     assert any("unhandled exception" in line for line in harness.log_lines)
 
 
-def test_timer_that_an_exception_may_have_lost_is_replaced(harness):
+def test_recovery_timer_replaces_a_timer_lost_to_an_exception(harness):
     process = harness.router_process
 
     with (
@@ -103,7 +103,7 @@
     assert any("unhandled exception in the decisions" in line for line in harness.log_lines)
 
 
-def test_what_was_decided_before_an_exception_of_the_decisions_is_carried_out(harness, worker, client):
+def test_actions_decided_before_an_exception_are_carried_out(harness, worker, client):
     process = harness.router_process
     client.send_request()
     harness.run_until(lambda: worker.requests, "the first request runs")
@@ -114,7 +114,7 @@
     client.send_request(call="ee" * 8)
     [served] = process.listener.connections
     assert wait_readable(served.connection._sock)
-    served.connection._ready(READ)
+    served.connection._on_ready(READ)
     process.loop.submit(TimerFired(1))  # in the same batch, behind the request
     harness.run_until(lambda: len(worker.requests) == 2, "the second request runs")
 
--- a/tests/net/test_drain.py
+++ b/tests/net/test_drain.py
@@ -58,7 +58,7 @@
     expect_answered(harness, worker, late_client)
 
 
-def test_half_read_request_is_served_in_a_drain(harness, worker, client):
+def test_partially_read_request_is_served_in_a_drain(harness, worker, client):
     [served] = harness.router_process.listener.connections
     client.send_request(withhold=9)
     harness.run_until(lambda: served.messages.has_partial_message, "half of the request is read")
@@ -97,7 +97,9 @@
     harness.run_until(lambda: not harness.router_process.loop.is_running, "the loop stops")
 
 
-def test_pending_request_is_answered_before_the_kill_even_if_the_decisions_fail(harness, worker, client):
+def test_pending_request_is_answered_before_the_kill_even_if_the_decision_module_fails(
+    harness, worker, client
+):
     client.send_request()
     harness.run_until(lambda: worker.requests, "the request runs")
     started_ms = clock.monotonic_ms()
--- a/tests/net/test_event_loop.py
+++ b/tests/net/test_event_loop.py
@@ -30,7 +30,7 @@
         self.batches.append(events)
 
 
-class FakePart:
+class FakeFlushable:
     """Counts how often it is flushed."""
 
     def __init__(self):
@@ -46,7 +46,7 @@
         self.flushes += 1
 
 
-class FailingPart(FakePart):
+class FailingFlushable(FakeFlushable):
     """Raises an exception at each flush."""
 
     def flush(self):
@@ -72,11 +72,11 @@
     """Make sockets with a byte to read."""
 
     def make():
-        near, far = socket.socketpair()
-        cleanups.callback(near.close)
-        cleanups.callback(far.close)
-        far.send(b"x")
-        return near
+        read_end, write_end = socket.socketpair()
+        cleanups.callback(read_end.close)
+        cleanups.callback(write_end.close)
+        write_end.send(b"x")
+        return read_end
 
     return make
 
@@ -108,18 +108,18 @@
     assert recorder.batches == [[TimerFired(1)], [TimerFired(2)]]
 
 
-def test_part_is_flushed_once_a_turn(loop):
-    part = FakePart()
-    loop.flush_later(part)
-    loop.flush_later(part)
+def test_flushable_is_flushed_once_per_turn(loop):
+    flushable = FakeFlushable()
+    loop.flush_later(flushable)
+    loop.flush_later(flushable)
 
     loop.run_once(0)
     loop.run_once(0)
 
-    assert part.flushes == 1
+    assert flushable.flushes == 1
 
 
-def test_exception_in_a_socket_callback_costs_only_that_callback(loop, recorder, readable_socket):
+def test_exception_in_a_socket_callback_does_not_affect_other_callbacks(loop, recorder, readable_socket):
     called = []
 
     def fail(_mask):
@@ -137,14 +137,14 @@
     assert "\n" not in line
 
 
-def test_exception_in_a_flush_costs_only_that_flush(loop, recorder):
-    parts = [FailingPart(), FakePart()]
-    for part in parts:
-        loop.flush_later(part)
+def test_exception_in_a_flush_does_not_affect_other_flushes(loop, recorder):
+    flushables = [FailingFlushable(), FakeFlushable()]
+    for flushable in flushables:
+        loop.flush_later(flushable)
 
     loop.run_once(0)
 
-    assert [part.flushes for part in parts] == [1, 1]
+    assert [flushable.flushes for flushable in flushables] == [1, 1]
     assert ["BoomError" in line for line in recorder.log_lines] == [True]
 
 
@@ -214,24 +214,24 @@
     assert handled == [signal.SIGUSR1]
 
 
-def test_long_turn_reads_what_has_come_before_it_writes(loop, readable_socket):
-    part = FakePart()
+def test_long_turn_polls_the_sockets_again_before_it_flushes(loop, readable_socket):
+    flushable = FakeFlushable()
     flushes_at_read = []
     sock = readable_socket()
 
-    def be_slow():
-        loop.flush_later(part)
-        loop.register(sock, READ, lambda _mask: flushes_at_read.append(part.flushes))
+    def block_the_turn():
+        loop.flush_later(flushable)
+        loop.register(sock, READ, lambda _mask: flushes_at_read.append(flushable.flushes))
         time.sleep(2 * event_loop.MAX_POLL_AGE_MS / 1000)
 
-    loop.timers.call_later(0.0, be_slow)
+    loop.timers.call_later(0.0, block_the_turn)
     time.sleep(0.01)
     loop.run_once(0)
 
-    assert (flushes_at_read, part.delays, part.flushes) == ([0], 1, 1)
+    assert (flushes_at_read, flushable.delays, flushable.flushes) == ([0], 1, 1)
 
 
-def test_wait_that_was_interrupted_until_its_time_was_over_is_followed_by_a_poll(loop, readable_socket):
+def test_interrupted_wait_is_followed_by_a_poll(loop, readable_socket):
     called = []
     loop.register(readable_socket(), READ, called.append)
     select = loop._selector.select
@@ -246,7 +246,7 @@
     assert called == [READ]
 
 
-def test_poll_counts_from_before_its_call_however_late_that_returns(loop):
+def test_poll_time_is_taken_before_the_system_call(loop):
     select = loop._selector.select
     polled_at_ms = []
 
@@ -277,13 +277,13 @@
         return super().recv(*arguments)
 
 
-def test_signal_that_cannot_be_read_for_a_moment_is_handled_in_a_later_turn(loop, recorder, cleanups):
+def test_signal_is_handled_in_a_later_turn_after_a_transient_read_error(loop, recorder, cleanups):
     cleanups.callback(signal.signal, signal.SIGUSR1, signal.getsignal(signal.SIGUSR1))
     handled = []
-    near, far = socket.socketpair()
-    failing = FailingOnceSocket(fileno=near.detach())
+    read_end, write_end = socket.socketpair()
+    failing = FailingOnceSocket(fileno=read_end.detach())
 
-    with mock.patch.object(event_loop.socket, "socketpair", return_value=(failing, far)):
+    with mock.patch.object(event_loop.socket, "socketpair", return_value=(failing, write_end)):
         loop.handle_signals({signal.SIGUSR1: lambda: handled.append(True)})
     os.kill(os.getpid(), signal.SIGUSR1)
     for _ in range(3):
--- a/tests/net/test_event_ordering_requests.py
+++ b/tests/net/test_event_ordering_requests.py
@@ -32,7 +32,7 @@
 
 UNKNOWN_CODE = 99  # of a worker's answer: the request may have run
 
-either_cancel_setting = pytest.mark.parametrize(
+with_both_cancel_settings = pytest.mark.parametrize(
     "settings", [CANCEL_FORBIDDEN, CANCEL_ALLOWED], ids=["cancel_forbidden", "cancel_allowed"]
 )
 
@@ -85,36 +85,36 @@
     [worker_connection] = send_pending(harness)
 
     close_client_unread(client, client_connection)
-    client_connection.connection._ready(READ)
+    client_connection.connection._on_ready(READ)
 
     assert harness.table.attempts.by_key == {}
     assert_no_attempt_arrives(harness, worker, worker_connection)
 
 
-@either_cancel_setting
-def test_new_connection_carries_no_attempt_for_a_client_whose_end_is_unread(start_router, settings):
+@with_both_cancel_settings
+def test_new_connection_sends_no_attempt_for_a_client_whose_close_is_unread(start_router, settings):
     harness, worker, client, client_connection = admit_request(start_router, settings)
     [worker_connection] = send_pending(harness)
 
     close_client_unread(client, client_connection)
-    worker_connection.connection._ready(WRITE)
+    worker_connection.connection._on_ready(WRITE)
     harness.router_process.loop._run_turn([], harness.router_process.loop.clock.now_ms())
 
     assert_no_attempt_arrives(harness, worker, worker_connection)
 
 
-@either_cancel_setting
+@with_both_cancel_settings
 def test_attempt_moved_off_a_reset_connection_is_dropped_with_its_client(start_router, settings):
     harness, worker, client, client_connection = admit_request(start_router, settings, connect_worker=True)
     worker_connections = send_pending(harness)
-    carrier = next(each for each in worker_connections if each.exchanges)
-    for each in [each for each in worker_connections if each is not carrier]:
-        each.connection.close(CloseReason.IDLE)
-    carrier.connection.close(CloseReason.RESET_BY_PEER)  # before a byte of the attempt was written
+    busy_connection = next(candidate for candidate in worker_connections if candidate.exchanges)
+    for candidate in [candidate for candidate in worker_connections if candidate is not busy_connection]:
+        candidate.connection.close(CloseReason.IDLE)
+    busy_connection.connection.close(CloseReason.RESET_BY_PEER)  # before a byte of the attempt was written
     [worker_connection] = harness.connections_to()
 
     close_client_unread(client, client_connection)
-    client_connection.connection._ready(READ)
+    client_connection.connection._on_ready(READ)
 
     assert_no_attempt_arrives(harness, worker, worker_connection)
 
@@ -128,9 +128,9 @@
     [other_connection] = send_pending(harness, OTHER_UNLISTED_WORKER_ID)
 
     worker.answer(worker.requests[0], body=b"served")
-    carrier = next(each for each in harness.connections_to() if each.exchanges)
-    assert wait_readable(carrier.connection._sock)
-    carrier.connection._ready(READ)
+    busy_connection = next(candidate for candidate in harness.connections_to() if candidate.exchanges)
+    assert wait_readable(busy_connection.connection._sock)
+    busy_connection.connection._on_ready(READ)
     harness.run_until(
         lambda: client.answers and other_connection.is_connected, "it is served, the other worker connected"
     )
@@ -144,7 +144,7 @@
     harness, _, client, client_connection = admit_request(start_router, CANCEL_ALLOWED)
     [key] = harness.table.pending
     close_client_unread(client, client_connection)
-    client_connection.connection._ready(READ)
+    client_connection.connection._on_ready(READ)
 
     with mock.patch.object(harness.router_process.loop, "submit") as submit:
         harness.table.send(SendRequest(key, UNLISTED_WORKER_ID))
@@ -186,13 +186,15 @@
     second.send_request(call=REPEATED_ID)
     harness.run_until(lambda: harness.table.pending, "the second one is admitted")
     connections = harness.router_process.listener.connections
-    [second_connection] = [each for each in connections if each.session.pending]
+    [second_connection] = [candidate for candidate in connections if candidate.session.pending]
 
     close_client_unread(second, second_connection)
-    [third_connection] = [each for each in connections if not each.messages.has_received_message]
+    [third_connection] = [
+        candidate for candidate in connections if not candidate.messages.has_received_message
+    ]
     third.send_request(call=REPEATED_ID)
     assert wait_readable(third_connection.connection._sock)
-    third_connection.connection._ready(READ)  # before the end of the second one is read
+    third_connection.connection._on_ready(READ)  # before the end of the second one is read
 
     assert second_connection.connection.is_closed
     assert list(third_connection.session.pending) == [1]
@@ -208,7 +210,7 @@
     client.send_request(call=REPEATED_ID, seqid=2)
     close_client_unread(client, client_connection)
     with mock.patch.object(connection, "MAX_READS_PER_TURN", 1):
-        client_connection.connection._ready(READ)
+        client_connection.connection._on_ready(READ)
 
     assert (harness.table.pending, harness.table._requests._keys_by_client_id) == ({}, {})
 
@@ -270,7 +272,7 @@
     harness.run_until(lambda: first.requests, "the first attempt runs")
     [second_connection] = send_pending(harness, OTHER_UNLISTED_WORKER_ID)
     assert not second_connection.is_connected
-    [started] = [each for each in harness.table.attempts.by_key.values() if each.is_started]
+    [started] = [candidate for candidate in harness.table.attempts.by_key.values() if candidate.is_started]
 
     started.created_at_ms -= connect_ms  # as if the second connection took that long
     harness.run_until(lambda: second_connection.is_connected, "the second worker is connected")
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -46,7 +46,7 @@
     assert "n1: news" in out.getvalue()
 
 
-def test_line_is_cut_and_cannot_forge_another_line(out, log):
+def test_line_is_truncated_and_cannot_forge_another_line(out, log):
     log("x\nn1: forged\x1b[0m" + "y" * MAX_LINE_LENGTH)
 
     [line] = out.getvalue().splitlines()
@@ -64,7 +64,7 @@
     log("a line")
 
 
-def test_log_that_nobody_reads_does_not_stop_the_process(clock, cleanups):
+def test_log_without_a_reader_does_not_block_the_process(clock, cleanups):
     read_end, write_end = os.pipe()
     cleanups.callback(os.close, read_end)
     out = os.fdopen(write_end, "w")
--- a/tests/net/test_pending_request.py
+++ b/tests/net/test_pending_request.py
@@ -21,7 +21,7 @@
     assert line == f"9b1f03aa5c7e2d41 view of f1 {name} after 12 ms (timeout 8000 ms): never sent"
 
 
-def test_trace_steps_carry_the_time_since_admission(request_of_client):
+def test_trace_steps_have_the_time_since_admission(request_of_client):
     request_of_client.admitted_at_ms -= 1000.0
 
     request_of_client.add_trace_step("sent to 7")
--- a/tests/net/test_pending_requests.py
+++ b/tests/net/test_pending_requests.py
@@ -24,7 +24,7 @@
     assert not requests.has_capacity_for(pending_request("r3").invocation)
 
 
-def test_bytes_of_all_bodies_are_limited_until_their_requests_are_removed(requests):
+def test_total_body_size_of_pending_requests_is_limited(requests):
     large = pending_request("r1", body=b"x" * 10)
     requests.add(large)
 
@@ -40,12 +40,12 @@
     request = pending_request("r1", request_id=b"abcdefgh")
     requests.add(request)
 
-    assert requests.with_client_id(b"abcdefgh") is request
-    assert requests.with_client_id(b"12345678") is None
+    assert requests.find_by_client_id(b"abcdefgh") is request
+    assert requests.find_by_client_id(b"12345678") is None
 
     assert requests.remove("r1") is request
     assert requests.remove("r1") is None
-    assert requests.with_client_id(b"abcdefgh") is None
+    assert requests.find_by_client_id(b"abcdefgh") is None
 
 
 def test_trace_step_goes_to_the_requests_for_its_function_only(requests):
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -41,7 +41,7 @@
     assert configuration_lines(harness) == [f"configuration reloaded: endpoint log at {host}:{port}"]
 
 
-def test_reload_logs_the_changed_keys_that_take_effect_at_the_start_only(harness, make_reload):
+def test_reload_logs_the_changed_keys_that_take_effect_only_at_startup(harness, make_reload):
     config = harness.router_process.config
     settings = msgspec.structs.replace(config.settings, zone="other")
     transport = msgspec.structs.replace(config.transport, keepalive_ms=1.0)
@@ -69,7 +69,7 @@
     assert client._connection is connection
 
 
-def test_file_that_cannot_be_read_for_a_moment_is_read_again(harness, make_reload):
+def test_reload_is_retried_after_a_transient_read_error(harness, make_reload):
     config = harness.router_process.config
     error = UnreadableFileError("ROUTER_CONFIG", "too many open files", errno.EMFILE)
     read_config = mock.Mock(side_effect=[error, error, config])
--- a/tests/net/test_request_parser.py
+++ b/tests/net/test_request_parser.py
@@ -19,7 +19,7 @@
     return parse_settings(settings).classes
 
 
-def test_checked_fields_are_typed(classes):
+def test_fields_are_parsed_to_their_types(classes):
     properties = "memory_mb:512;lanes:2;load_ms:640.5;unheard:x"
     message = thrift.Handle(1, REQUEST_FIELDS | {"props": properties}, b"b")
 
--- a/tests/net/test_request_table.py
+++ b/tests/net/test_request_table.py
@@ -87,7 +87,7 @@
     assert not harness.router_process.listener.connections
 
 
-def test_exception_in_the_decisions_still_leaves_each_request_one_answer(harness, worker):
+def test_each_request_gets_one_answer_despite_an_exception_in_the_decision_module(harness, worker):
     client = harness.connect_client()
 
     with mock.patch.object(harness.router_process.router, "handle", side_effect=KeyError("boom")):
@@ -100,7 +100,7 @@
     harness.run_until(lambda: worker.requests, "the next one runs")
 
 
-def test_deadline_timer_reports_the_request_as_cancelled_to_the_decisions(harness):
+def test_deadline_timer_reports_the_request_as_cancelled_to_the_decision_module(harness):
     client = harness.connect_client()
 
     with mock.patch.object(harness.router_process.router, "handle", return_value=[]) as handle:
--- a/tests/net/test_socket_reader.py
+++ b/tests/net/test_socket_reader.py
@@ -36,7 +36,7 @@
     assert reader.receive() is None
 
 
-def test_read_that_fails_for_a_moment_returns_none_and_the_next_one_the_bytes(open_reader):
+def test_read_returns_none_after_a_transient_error_and_the_bytes_on_retry(open_reader):
     reader, sock, peer = open_reader(lambda sock: FailingAtFirstSocket(sock, errno.ENOMEM))
     peer.sock.send(b"request")
     assert wait_readable(sock)
--- a/tests/net/test_socket_writer.py
+++ b/tests/net/test_socket_writer.py
@@ -9,7 +9,7 @@
 from function_router.net.socket_writer import SocketWriter
 from function_router.net.write_queue import PendingWrite
 
-MORE_THAN_SOCKETS_BUFFER = 16 * 1024 * 1024
+LARGER_THAN_SOCKET_BUFFER = 16 * 1024 * 1024
 
 
 @pytest.fixture
@@ -26,17 +26,17 @@
 
 def test_partial_write_blocks_the_writer(open_writer):
     writer = open_writer()
-    write = PendingWrite(bytes(MORE_THAN_SOCKETS_BUFFER))
+    write = PendingWrite(bytes(LARGER_THAN_SOCKET_BUFFER))
     writer.queue.append(write)
 
     reason = writer.flush()
 
     assert reason is None
     assert writer.is_blocked
-    assert 0 < write.written < MORE_THAN_SOCKETS_BUFFER
+    assert 0 < write.written < LARGER_THAN_SOCKET_BUFFER
 
 
-def test_write_that_fails_for_a_moment_stays_queued_until_the_next_one(open_writer):
+def test_write_stays_queued_after_a_transient_error(open_writer):
     writer = open_writer(errno.ENOBUFS)
     writer.queue.append(PendingWrite(b"reply"))
 
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -7,7 +7,7 @@
 from helpers.sockets import wait_readable
 from helpers.tcp_connections import FailingAtFirstSocket
 
-from function_router.net.sockets import Unread, address_family, begin_connect, has_peer_closed, peek
+from function_router.net.sockets import PeekResult, address_family, begin_connect, has_peer_closed, peek
 
 
 @pytest.fixture
@@ -36,8 +36,8 @@
     peer.send(b"x")
     assert wait_readable(sock)
 
-    assert before is Unread.NOTHING
-    assert [peek(sock), peek(sock)] == [Unread.DATA, Unread.DATA]
+    assert before is PeekResult.NOTHING
+    assert [peek(sock), peek(sock)] == [PeekResult.DATA, PeekResult.DATA]
     assert not has_peer_closed(sock)
 
 
@@ -47,25 +47,25 @@
     peer.close()
     assert wait_readable(sock)
 
-    assert peek(sock) is Unread.END
+    assert peek(sock) is PeekResult.END
     assert has_peer_closed(sock)
 
 
-def test_close_behind_unread_data_is_found(open_socket):
+def test_close_behind_unread_data_is_detected(open_socket):
     sock, peer = open_socket()
 
     peer.send(b"unread")
     peer.shutdown(socket.SHUT_WR)
     assert wait_readable(sock)
 
-    assert peek(sock) is Unread.DATA
+    assert peek(sock) is PeekResult.DATA
     assert has_peer_closed(sock)
 
 
 @pytest.mark.parametrize(
-    ("error_number", "unread"), [(errno.ENOMEM, Unread.UNKNOWN), (errno.ECONNRESET, Unread.END)]
+    ("error_number", "unread"), [(errno.ENOMEM, PeekResult.UNKNOWN), (errno.ECONNRESET, PeekResult.END)]
 )
-def test_failed_peek_is_the_end_unless_the_error_may_pass(open_socket, error_number, unread):
+def test_peek_error_counts_as_the_end_unless_it_is_transient(open_socket, error_number, unread):
     sock, _ = open_socket()
 
     assert peek(FailingAtFirstSocket(sock, error_number)) is unread
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -27,7 +27,7 @@
     def set_wall_clock(self, wrong_by_ms):
         """Set the wall clock, and let the router see it."""
         self.wrong_by_ms = wrong_by_ms
-        self.clock.note_wall_clock(self.true_unix_ms + wrong_by_ms - self.monotonic_ms)
+        self.clock.record_wall_clock_offset(self.true_unix_ms + wrong_by_ms - self.monotonic_ms)
 
     def age_ms(self, true_age_ms, *, worker_id=WORKER_ID, is_live_update=False):
         """The age that the router computes for a worker of a true age."""
--- a/tests/net/test_thrift.py
+++ b/tests/net/test_thrift.py
@@ -13,18 +13,18 @@
     return struct.pack(">I", len(message)) + message
 
 
-def head(name=b"handle", seqid=7, kind=thrift.CALL, version=thrift.VERSION):
+def header(name=b"handle", seqid=7, kind=thrift.CALL, version=thrift.VERSION):
     return struct.pack(">Ii", version | kind, len(name)) + name + struct.pack(">i", seqid)
 
 
 @pytest.mark.parametrize("chunk_size", [1, 3, 7, 64, 10_000])
-def test_messages_are_read_whatever_chunks_they_come_in(chunk_size):
+def test_messages_are_parsed_from_chunks_of_any_size(chunk_size):
     body = b"\0\xff" * 10
     unknown_list = struct.pack(">bhbi", thrift.LIST, 9, thrift.I32, 2) + b"\0" * 8
     plain = encode_request(1, REQUEST_FIELDS, body)
     with_unknown_list = frame(plain[4:-1] + unknown_list + b"\0")
-    withdraw = frame(head(b"withdraw", 3, thrift.ONEWAY) + struct.pack(">bhib", thrift.I32, 1, 1, 0))
-    status = frame(head(b"status", 4) + struct.pack(">bhbb", thrift.BOOL, 1, 1, 0))
+    withdraw = frame(header(b"withdraw", 3, thrift.ONEWAY) + struct.pack(">bhib", thrift.I32, 1, 1, 0))
+    status = frame(header(b"status", 4) + struct.pack(">bhbb", thrift.BOOL, 1, 1, 0))
 
     messages = feed_in_chunks(thrift.FrameReader(), plain + with_unknown_list + withdraw + status, chunk_size)
 
@@ -45,18 +45,18 @@
     [
         pytest.param(b"GET / HTTP/1.1\r\n\r\n", None, id="no thrift at all"),
         pytest.param(b"\xff\xff\xff\xff" + b"x" * 300, None, id="negative frame length"),
-        pytest.param(frame(head(version=0x80020000)), None, id="another version"),
-        pytest.param(frame(head()[:10]), None, id="truncated head"),
+        pytest.param(frame(header(version=0x80020000)), None, id="another version"),
+        pytest.param(frame(header()[:10]), None, id="truncated head"),
         pytest.param(frame(b""), None, id="empty frame"),
         pytest.param(frame(ENDLESS_NAME), None, id="endless method name"),
-        pytest.param(frame(head(b"explode") + b"\0"), 7, id="unknown method"),
-        pytest.param(frame(head(kind=thrift.REPLY) + b"\0"), 7, id="reply"),
-        pytest.param(frame(head()), 7, id="no arguments"),
-        pytest.param(frame(head() + b"\0"), 7, id="no fields"),
-        pytest.param(frame(head() + NEGATIVE_STRING), 7, id="negative string length"),
-        pytest.param(frame(head() + ENDLESS_MAP), 7, id="endless map"),
-        pytest.param(frame(head() + NESTED_STRUCTS), 7, id="nested too deep"),
-        pytest.param(frame(head() + b"\x63\0\1\0"), 7, id="unknown field type"),
+        pytest.param(frame(header(b"explode") + b"\0"), 7, id="unknown method"),
+        pytest.param(frame(header(kind=thrift.REPLY) + b"\0"), 7, id="reply"),
+        pytest.param(frame(header()), 7, id="no arguments"),
+        pytest.param(frame(header() + b"\0"), 7, id="no fields"),
+        pytest.param(frame(header() + NEGATIVE_STRING), 7, id="negative string length"),
+        pytest.param(frame(header() + ENDLESS_MAP), 7, id="endless map"),
+        pytest.param(frame(header() + NESTED_STRUCTS), 7, id="nested too deep"),
+        pytest.param(frame(header() + b"\x63\0\1\0"), 7, id="unknown field type"),
         pytest.param(frame(encode_request(7, REQUEST_FIELDS)[4:] + b"x"), 7, id="trailing bytes"),
         pytest.param(frame(NOT_UTF_8), 7, id="not UTF-8"),
         pytest.param(encode_request(7, REQUEST_FIELDS, b"x" * (16 * 1024 + 1)), 7, id="body too large"),
@@ -102,7 +102,7 @@
         pytest.param(thrift.encode_broken(6), (6, "broken", {1: {}}), id="broken"),
     ],
 )
-def test_encoded_answer_reads_back(data, expected):
+def test_encoded_answer_round_trips(data, expected):
     answer = decode_answer(data[4:])
 
     assert answer == expected
@@ -110,8 +110,8 @@
 
 @pytest.mark.parametrize("method", [b"handle", b"status", b"withdraw", b"explode"])
 def test_application_exception_names_the_method_that_was_called(method):
-    [error] = thrift.FrameReader().feed(frame(head(method, kind=thrift.CALL) + b"\x63\0\1\0"))
+    [error] = thrift.FrameReader().feed(frame(header(method, kind=thrift.CALL) + b"\x63\0\1\0"))
 
     answer = thrift.encode_application_exception(error)
 
-    assert thrift.parse_head(answer[4:])[:3] == (thrift.EXCEPTION, method.decode(), 7)
+    assert thrift.parse_header(answer[4:])[:3] == (thrift.EXCEPTION, method.decode(), 7)
--- a/tests/net/test_timer_wheel.py
+++ b/tests/net/test_timer_wheel.py
@@ -3,9 +3,9 @@
 import pytest
 from helpers.fake_clock import FakeMonotonicClock
 
-from function_router.net.timer_wheel import SLOTS, TICK_MS, TimerWheel
+from function_router.net.timer_wheel import SLOT_COUNT, TICK_MS, TimerWheel
 
-DELAYS_MS = [0.0, 1.0, 3.9, 4.0, 40.0, 250.0, SLOTS * TICK_MS, SLOTS * TICK_MS * 2 + 5, 10_000.0]
+DELAYS_MS = [0.0, 1.0, 3.9, 4.0, 40.0, 250.0, SLOT_COUNT * TICK_MS, SLOT_COUNT * TICK_MS * 2 + 5, 10_000.0]
 STARTED_AT_MS = 1000.0
 STEP_MS = 1.0
 
@@ -68,7 +68,7 @@
     assert fired == []
 
 
-def test_exception_in_a_callback_leaves_other_timers_alone(clock, wheel):
+def test_exception_in_a_callback_does_not_affect_other_timers(clock, wheel):
     reported = []
     fired = []
     wheel.on_exception = reported.append
--- a/tests/net/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -149,7 +149,7 @@
 
     connection._writer.is_blocked = True  # the worker does not read for a while
     time.sleep(NO_READ_S)
-    connection._ready(WRITE)
+    connection._on_ready(WRITE)
     harness.run_until(lambda: len(worker.requests) == 2, "it runs")
 
     stated_ms = float(worker.requests[1].frame.fields["ms"])
--- a/tests/net/test_write_queue.py
+++ b/tests/net/test_write_queue.py
@@ -67,7 +67,7 @@
     assert queue.pending_bytes == 0
 
 
-def test_cancelled_write_is_taken_off_also_where_another_has_the_same_bytes(queue, append):
+def test_cancel_removes_only_the_given_write_even_if_another_has_the_same_bytes(queue, append):
     kept = append(b"same")
     cancelled = append(b"same")
 
