--- a/function_router/net/__init__.py
+++ b/function_router/net/__init__.py
@@ -1,1 +1,1 @@
-"""The network side of the router: sockets, protocols and timers around the decision module."""
+"""The network layer of the router: sockets, protocols and timers around the decision module."""
--- a/function_router/net/acceptor.py
+++ b/function_router/net/acceptor.py
@@ -1,4 +1,4 @@
-"""The listening socket for clients: accepts connections and pauses while none can be served."""
+"""The listening socket for clients: accepts connections, and pauses while no more can be served."""
 
 import errno
 import socket
@@ -15,41 +15,44 @@
 from function_router.net.transient_errors import is_transient
 from function_router.net.unread_since import UnreadSince
 
-# Connections that the system keeps until they are accepted.
+# Maximum length of the kernel's queue of connections that are not accepted yet.
 BACKLOG = 1024
-# Connections that are accepted in one turn of the event loop.
+# Maximum number of connections accepted in one turn of the event loop.
 MAX_ACCEPTS_PER_TURN = 64
-# How long accepting pauses: at the limit on connections, or after a failed accept or registration.
+# How long accepting pauses at the connection limit, or after a failed accept or registration.
 ACCEPT_PAUSE_MS = 50.0
 
 
 class AcceptedSocket(Struct, frozen=True):
-    """A socket that was accepted; its client connected at `earliest_connect_ms` (monotonic) or later."""
+    """An accepted socket; its client connected at `earliest_connect_ms` (monotonic) or later."""
 
     sock: socket.socket
     earliest_connect_ms: float
 
 
 class AcceptorOwner(Protocol):
-    """Whoever serves the accepted sockets."""
+    """Serves the accepted sockets."""
 
     def ensure_capacity(self, reserved: int, /) -> bool:
-        """Whether another connection may be accepted besides `reserved` ones; closes idle ones for it."""
+        """Return whether another connection may be accepted in addition to `reserved` accepted ones.
+
+        At the connection limit, idle connections are closed to free capacity.
+        """
 
     def serve(self, accepted: AcceptedSocket, /) -> None:
-        """Serve an accepted socket, and own it from now on.
+        """Take ownership of an accepted socket and serve it.
 
         Raises:
-            OSError: Where that is not possible now; the socket stays open.
+            OSError: The socket cannot be served now; it stays open.
         """
 
 
 class Acceptor:
-    """Owns the listening socket, and accepted sockets until they can be served.
+    """Owns the listening socket, and the accepted sockets that cannot be served yet.
 
     Attributes:
-        address: Host and port on which it listens.
-        is_paused: Whether new connections are left to the system's queue for a moment.
+        address: Host and port of the listening socket.
+        is_paused: Whether accepting is paused; new connections stay in the kernel's queue meanwhile.
     """
 
     def __init__(
@@ -60,13 +63,13 @@
         max_connections: int,
         telemetry: Telemetry,
     ) -> None:
-        """Start to listen at an address; with port 0 the system chooses one.
+        """Listen on an address; for port 0 the kernel chooses a port.
 
-        At most half of `max_connections`, which the owner serves at once, are accepted in one turn: the first
-        request of those just accepted can then be read before others need their capacity.
+        The owner serves at most `max_connections` at once. One turn accepts at most half as many, so that the
+        first requests of the accepted clients are read before the next clients compete for their capacity.
 
         Raises:
-            OSError: Where it can't listen at this address.
+            OSError: The address cannot be listened on.
         """
         self._loop = loop
         self._owner = owner
@@ -75,8 +78,8 @@
         self._listener: socket.socket | None = _listen(address)
         self.address: Address = self._listener.getsockname()[:2]
         self.is_paused = False
-        self._unread_since = UnreadSince(loop, monotonic_ms())  # of clients that are not accepted yet
-        self._deferred_sockets: list[AcceptedSocket] = []  # to be served after the pause
+        self._unread_since = UnreadSince(loop, monotonic_ms())  # of connections in the kernel's queue
+        self._deferred_sockets: list[AcceptedSocket] = []  # accepted, to be served after the pause
         loop.register(self._listener, READ, self._on_readable)
 
     def _on_readable(self, _mask: int) -> None:
@@ -84,7 +87,7 @@
         self.accept_pending()
 
     def accept_pending(self) -> None:
-        """Accept the connections in the system's queue, as far as the limits allow."""
+        """Accept the connections in the kernel's queue, as far as the limits allow."""
         for _ in range(self._max_accepts_per_turn):
             if self._listener is None:
                 return
@@ -95,7 +98,7 @@
                 return
 
     def _accept_one(self, listener: socket.socket) -> bool:
-        """Accept a connection; False where no other one can be accepted in this turn."""
+        """Accept one connection; return False if no further one can be accepted in this turn."""
         try:
             sock, _ = listener.accept()
         except BlockingIOError:
@@ -105,41 +108,41 @@
             if error.errno in (errno.ECONNABORTED, errno.EINTR):
                 return True
             if not is_transient(error):
-                self._telemetry.log(f"accept: {error}")
+                self._telemetry.log(f"cannot accept client connection: {error}")
             self._pause()
             return False
         self._telemetry.count(CLIENTS_ACCEPTED)
         return self._serve(AcceptedSocket(sock, self._unread_since.since_ms))
 
     def _serve(self, accepted: AcceptedSocket) -> bool:
-        """Have the owner serve an accepted socket; False where that can't be done now.
+        """Pass an accepted socket to the owner; return False if the owner cannot serve it now.
 
-        Its client may have sent a request by now, which a close would lose: it is served later.
+        Such a socket is kept and served later: closing it would lose a request that its client has sent.
         """
         try:
             self._owner.serve(accepted)
         except OSError as error:
-            self._telemetry.log(f"accepted connection: {error}")
+            self._telemetry.log(f"cannot serve accepted connection: {error}")
             self._deferred_sockets.append(accepted)
             self._pause()
             return False
         return True
 
     def _pause(self) -> None:
-        """Leave new connections to the system's queue for a moment, rather than try again at once."""
+        """Stop accepting for ACCEPT_PAUSE_MS, instead of retrying at once."""
         if self._listener is not None and not self.is_paused:
             self.is_paused = True
             self._loop.unregister(self._listener)
             self._loop.timers.call_later(ACCEPT_PAUSE_MS, self._resume)
 
     def _resume(self) -> None:
-        """Watch the listener again, and serve what could not be served; both may fail once more."""
+        """Watch the listening socket again and serve the deferred sockets; retry if that fails again."""
         if self._listener is None:
             return
         try:
             self._loop.register(self._listener, READ, self._on_readable)
         except OSError as error:
-            self._telemetry.log(f"listener: {error}")
+            self._telemetry.log(f"cannot watch listening socket: {error}")
             self._loop.timers.call_later(ACCEPT_PAUSE_MS, self._resume)
             return
         self._unread_since.on_watch_resumed()
@@ -150,7 +153,7 @@
             self._serve(accepted)
 
     def close(self) -> None:
-        """Stop listening, and close the accepted sockets that could not be served."""
+        """Stop listening, and close the deferred sockets."""
         if self._listener is not None:
             if not self.is_paused:
                 self._loop.unregister(self._listener)
--- a/function_router/net/attempt_report.py
+++ b/function_router/net/attempt_report.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt means for the decision module and for the log."""
+"""Converts the result of an attempt for the decision module and the log."""
 
 from msgspec import Struct
 
@@ -6,26 +6,33 @@
 from function_router.net.close_reason import outcome_of
 from function_router.net.worker_messages import Answer, Attempt, Result
 
-# A worker's figure above this is reported as this.
+# A larger number of requests in flight at a worker is reported to the decision module as this one.
 MAX_REPORTED_IN_FLIGHT = 30
 
 
 class AttemptReport(Struct, frozen=True):
-    """What became of an attempt, in the terms of the decision module."""
+    """The result of an attempt in the types of the decision module.
+
+    Attributes:
+        outcome: How the attempt ended.
+        start_kind: Whether the worker reused or started an instance for it.
+        in_flight: How many requests for the function the worker had before this one; None if unknown.
+        description: The result as text for the log.
+    """
 
     outcome: Outcome
     start_kind: StartKind
-    in_flight: int | None  # requests for the function that the worker had before this one
-    description: str  # for the log
+    in_flight: int | None
+    description: str
 
     @classmethod
     def from_result(cls, attempt: Attempt, result: Result, *, reports_in_flight: bool) -> "AttemptReport":
         """Convert the result of an attempt.
 
         Args:
-            attempt: The attempt, which has ended.
-            result: The worker's answer, or why there is none.
-            reports_in_flight: Whether answers of workers say how many requests were in flight.
+            attempt: An attempt that has ended.
+            result: The worker's answer, or the reason why there is none.
+            reports_in_flight: Whether workers report in their answers how many requests are in flight.
         """
         if not isinstance(result, Answer):
             outcome = outcome_of(result, is_started=attempt.is_started)
--- a/function_router/net/attempts_in_flight.py
+++ b/function_router/net/attempts_in_flight.py
@@ -1,4 +1,4 @@
-"""The attempts in flight: sent to workers on behalf of requests, and reported to the decision module."""
+"""The attempts in flight: sends them to workers and reports their results to the decision module."""
 
 from collections.abc import Callable, Mapping
 
@@ -19,20 +19,20 @@
 
 
 class AttemptsInFlight:
-    """Owns the attempts from when they are sent until they have a result.
+    """Owns each attempt from the time it is sent until it has a result.
 
-    Attempts of finished requests are among them: the decision module may still cancel those.
+    This includes attempts of finished requests, as the decision module may still cancel them.
 
     Args:
         loop: Takes the events for the decision module.
         pool: Sends the attempts.
-        transport: Says what workers report.
+        transport: Settings, which include whether workers report their requests in flight.
         classes: The request classes by name.
         requests: The pending requests.
-        on_served: Called with a request's key and its answer once a worker has served it.
+        on_served: Called with a request's key and the worker's answer once a worker has served the request.
 
     Attributes:
-        by_key: The attempts by their request's key and their number, oldest first.
+        by_key: The attempts by request key and attempt number, oldest first.
     """
 
     __slots__ = ("_classes", "_loop", "_on_served", "_pool", "_requests", "_transport", "by_key")
@@ -55,7 +55,7 @@
         self._on_served = on_served
 
     def send(self, request: PendingRequest, number: int, worker_id: int) -> None:
-        """Send an attempt of a pending request, under its number, to a worker."""
+        """Send attempt `number` of a pending request to a worker."""
         attempt = self._create(request, number, worker_id)
         self.by_key[request.key, number] = attempt
         request.add_trace_step(f"sent to {worker_id}")
@@ -67,9 +67,9 @@
             self._pool.cancel(attempt)
 
     def cancel_unsent(self, request: PendingRequest) -> None:
-        """Cancel the attempts of a finished request of which their workers have not received a byte.
+        """Cancel the attempts of a finished request of which no byte has been sent yet.
 
-        The decision module's own cancellations do not cover these: the settings may forbid them.
+        The decision module may not cancel them, as the settings can forbid it to cancel attempts.
         """
         for attempt in self._attempts_of(request):
             self._pool.cancel_if_unsent(attempt)
@@ -90,7 +90,10 @@
         )
 
     def _reason_not_to_send(self, key: str) -> NotSentReason | None:
-        """Why an attempt's first byte may not leave now, which may be long after it was decided on."""
+        """Return why an attempt must not start now; None if it may.
+
+        This is called before the first byte is written, possibly long after the decision to send the attempt.
+        """
         request = self._requests.by_key.get(key)
         if request is None:
             return NotSentReason.REQUEST_FINISHED
@@ -102,7 +105,7 @@
         return [self.by_key[key] for key in keys if key in self.by_key]
 
     def _on_done(self, key: str, number: int, attempt: Attempt, result: Result) -> None:
-        """Record and report the result of an attempt; the first one that was served answers the request."""
+        """Record and report the result of an attempt; the first successful one answers the request."""
         del self.by_key[key, number]
         report = AttemptReport.from_result(
             attempt, result, reports_in_flight=self._transport.reports_in_flight
@@ -126,7 +129,7 @@
 
 
 def _record_ended_attempt(request: PendingRequest, attempt: Attempt, report: AttemptReport) -> None:
-    """Record an attempt that has ended in its request, which is still pending."""
+    """Record the end of an attempt in its request, which is still pending."""
     wait_ms = attempt.connection_wait_ms
     request.add_trace_step(f"{attempt.worker_id}: {report.description} connection wait {wait_ms:.0f}")
     if attempt.is_started and report.outcome.may_have_run:
--- a/function_router/net/client_connection.py
+++ b/function_router/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: its reads and writes, its timeouts and its end."""
+"""One client connection: reads messages, limits unwritten answers, and closes on timeouts."""
 
 import socket
 from typing import Protocol
@@ -11,25 +11,27 @@
 from function_router.net.invariants import Invariant
 from function_router.net.sockets import MAY_HOLD_DATA
 
-# The client closed the connection or does not read its answers, so that nobody waits for one.
+# Close reasons after which no client waits for answers: it closed the connection or does not read them.
 CLIENT_GONE_REASONS = (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER, CloseReason.WRITE_BUFFER_FULL)
 
-# Clients close after 4 s without a request; one that is idle for this long would otherwise never be closed.
+# Clients close a connection after 4 s without a request. A connection that stays idle for this long has a
+# client that never closes it.
 IDLE_TIMEOUT_MS = 30_000.0
-# Bytes that can have been unread for longer arrived while the process was stalled. The messages of one read
-# may then differ in age; otherwise they count as equally old.
+# If bytes may have been unread for longer than this, the process has been stalled, and the messages of one
+# read may differ in age. Otherwise all messages of a read are treated as equally old.
 MIN_STALL_MS = 100.0
 
-# A client with more bytes of unread answers is not read from.
+# High-water mark of the answers to one client that are not written yet: reading from the client pauses.
 HIGH_WATER_BYTES = 64 * 1024
-# A client with more bytes of unread answers is disconnected.
+# Unwritten answers to one client above which it is disconnected.
 MAX_UNWRITTEN_BYTES = 1024 * 1024
-# Where all clients together have more, those that are not read from are disconnected: memory is limited.
+# Unwritten answers to all clients above which each client over the high-water mark is disconnected, to
+# limit memory use.
 MAX_TOTAL_UNWRITTEN_BYTES = 32 * 1024 * 1024
 
 
 class ClientConnectionOwner(ClientService, Protocol):
-    """Whoever accepted the connections of clients, and is notified when they close.
+    """Accepts the connections of clients, and is notified when they close.
 
     Attributes:
         loop: The event loop that serves the connections.
@@ -38,37 +40,37 @@
     loop: EventLoop
 
     def unwritten_bytes(self) -> int:
-        """Bytes of answers to all clients that have yet to be written."""
+        """Return the size of all answers, to all clients, that are not written yet."""
 
     def on_client_closed(self, client: "ClientConnection", reason: CloseReason, /) -> None:
-        """The connection is closed."""
+        """Handle the close of a connection."""
 
 
 class ClientConnection:
-    """One client connection, which passes the client's messages on to its session.
+    """One client connection, which passes the client's messages to its session.
 
     Attributes:
         connection: The TCP connection.
-        messages: Reads the messages.
-        session: Handles the messages; has the pending requests.
+        messages: Splits the received bytes into messages.
+        session: Handles the messages and owns the client's pending requests.
     """
 
     __slots__ = ("__weakref__", "_owner", "connection", "messages", "session")
 
     def __init__(self, owner: ClientConnectionOwner, sock: socket.socket, earliest_connect_ms: float) -> None:
-        """Serve an accepted socket, whose client connected at `earliest_connect_ms` (monotonic) or later."""
+        """Serve an accepted socket whose client connected at `earliest_connect_ms` (monotonic) or later."""
         self._owner = owner
         self.messages = ClientMessages()
         self.connection = Connection.accepted(owner.loop, sock, self, earliest_connect_ms)
         self.session = ClientSession(owner, self.connection)
 
-    # --- from the connection ------------------------------------------------------------------
+    # --- connection handler -------------------------------------------------------------------
 
     def on_connected(self) -> None:
-        """Do nothing: an accepted connection is connected from the start."""
+        """Do nothing, as an accepted connection is established already."""
 
     def on_data(self, data: bytes) -> None:
-        """Handle the messages that these bytes complete."""
+        """Handle the messages that the received bytes complete."""
         messages = self.messages.feed(data)
         for number, message in enumerate(messages, 1):
             if self.connection.is_closed or self.connection.is_closing:
@@ -77,10 +79,10 @@
             self.session.on_message(message, self._age_ms(is_last=is_last))
 
     def _age_ms(self, *, is_last: bool) -> float:
-        """For how long a message was unread: exact for one whose last byte is the last byte of the read.
+        """Return how long a message was unread.
 
-        Those before it may be older, which matters after the process has stalled: they are taken to be as old
-        as they can be.
+        The age is exact if the message ends with the last byte of the read. Earlier messages of the read may
+        be older, which matters after a stall of the process: their age is then the longest possible one.
         """
         max_age_ms = self.connection.reader.max_receive_delay_ms
         if is_last or max_age_ms <= MIN_STALL_MS:
@@ -88,9 +90,9 @@
         return max_age_ms
 
     def on_flushed(self) -> None:
-        """Stop reading from a client that does not read, and disconnect it once too much is unread.
+        """Pause reading from a client that does not read its answers; disconnect it above the limits.
 
-        While it has pending requests it is read from all the same, as it may cancel them or disconnect.
+        Reading does not pause while the client has pending requests, as it may cancel them or disconnect.
         """
         unwritten_bytes = self.connection.pending_bytes
         self.connection.set_reading(enabled=unwritten_bytes < HIGH_WATER_BYTES or bool(self.session.pending))
@@ -100,10 +102,10 @@
             self.connection.close(CloseReason.WRITE_BUFFER_FULL)
 
     def on_write_delayed(self) -> None:
-        """Do nothing: an answer is written even if that is late."""
+        """Do nothing, as an answer is written even if it is late."""
 
     def on_closed(self, reason: CloseReason) -> None:
-        """Cancel the pending requests; nobody waits for their answers."""
+        """Cancel the pending requests, whose answers can no longer be sent."""
         pending_count = len(self.session.pending)
         if pending_count and reason not in CLIENT_GONE_REASONS:
             detail = f"{reason.name} with {pending_count} requests pending"
@@ -114,7 +116,7 @@
     # --- timeouts -----------------------------------------------------------------------------
 
     def check_timeouts(self, now_ms: float) -> None:
-        """Close the connection if it is idle, or if its message has taken too long."""
+        """Close the connection if it has been idle for too long, or its next message is overdue."""
         if self.session.pending:
             return
         if now_ms - self.connection.last_used_ms > IDLE_TIMEOUT_MS:
@@ -129,34 +131,34 @@
             self.close_unless_data_arrived()
 
     def close_unless_data_arrived(self) -> bool:
-        """Close it, unless something that the client sent is yet to be read; whether it was closed."""
+        """Close the connection unless data from the client may be unread; return whether it was closed."""
         if self.connection.peek() in MAY_HOLD_DATA and not self.connection.is_closing:
             return False
         is_idle = self.messages.has_received_message
         self.connection.close(CloseReason.IDLE if is_idle else CloseReason.READ_TIMEOUT)
         return True
 
-    # --- state, as the listener needs it ------------------------------------------------------
+    # --- state for the listener ---------------------------------------------------------------
 
     def is_idle(self) -> bool:
-        """Whether no request is pending and no answer is left to be written."""
+        """Whether no request is pending and all answers are written."""
         return not self.session.pending and not self.connection.pending_bytes
 
     def is_silent_since(self, time_ms: float) -> bool:
-        """Whether it has sent no byte yet and connected before this time."""
+        """Whether the client connected before a time (monotonic) and has sent no byte yet."""
         return not self.messages.has_received_data and self.connection.last_used_ms < time_ms
 
     def has_unread_data(self) -> bool:
-        """Whether the client has sent something that is unread, or a part of a message."""
+        """Whether data from the client may be unread, or a message has been received in part."""
         return not self.connection.is_closing and (
             self.messages.has_partial_message or self.connection.peek() in MAY_HOLD_DATA
         )
 
     def eviction_order(self) -> tuple[bool, bool, float]:
-        """Sort key of idle connections: the first one is closed first where there are too many.
+        """Return the sort key of an idle connection: the one with the smallest key is evicted first.
 
-        The order is: connections that are being closed already, those without an incomplete message, and the
-        others; within each group, those that have been idle for longest.
+        Connections that are already closing come first, then those without a partial message, then the
+        others. Each group is sorted by idle time, longest first.
         """
         return (
             not self.connection.is_closing,
--- a/function_router/net/client_listener.py
+++ b/function_router/net/client_listener.py
@@ -1,4 +1,4 @@
-"""The connections of clients: which are open, within their limit, and until when."""
+"""Listens for clients, limits the number of their connections, and closes idle ones."""
 
 from function_router.config import Address
 from function_router.decisions.settings import RequestClass
@@ -10,21 +10,22 @@
 from function_router.net.request_table import RequestTable
 from function_router.net.telemetry import CLIENTS_CLOSED, Telemetry
 
-# Connections that are younger and have sent nothing yet may be about to; older ones are closed first.
+# Time that a new client has for its first byte. At the connection limit, connections that are older and
+# have sent nothing are closed first.
 FIRST_MESSAGE_GRACE_MS = 250.0
 
 
 class ClientListener:
-    """Listens for clients and owns their connections, within a share of the file descriptors.
+    """Listens for clients and owns their connections, which use a limited share of the file descriptors.
 
     Attributes:
         loop: The event loop that all connections share.
         table: The request table, which admits the clients' requests.
         telemetry: The log, the counters and the run-time checks.
         classes: The request classes by name.
-        tenants: Names of the tenants that may send requests; empty where any may.
-        is_ready: The answer to status requests.
-        connections: The open client connections, oldest first; the values mean nothing.
+        tenants: Names of the tenants that may send requests; empty if any tenant may.
+        is_ready: Whether the router is ready, which is the answer to status requests.
+        connections: The open client connections, oldest first; an ordered set, whose values are unused.
     """
 
     def __init__(
@@ -37,10 +38,10 @@
         max_connections: int,
         telemetry: Telemetry,
     ) -> None:
-        """Start to listen at an address, for at most `max_connections` clients at once.
+        """Listen on an address, for at most `max_connections` clients at once.
 
         Raises:
-            OSError: Where it can't listen at this address.
+            OSError: The address cannot be listened on.
         """
         self.loop = loop
         self.table = table
@@ -54,30 +55,34 @@
 
     @property
     def address(self) -> Address:
-        """Host and port on which it listens."""
+        """Host and port of the listening socket."""
         return self._acceptor.address
 
-    # --- from the acceptor ----------------------------------------------------------------------
+    # --- acceptor owner -------------------------------------------------------------------------
 
     def serve(self, accepted: AcceptedSocket) -> None:
         """Serve an accepted socket.
 
         Raises:
-            OSError: Where the event loop can't watch it now.
+            OSError: The event loop cannot watch the socket now.
         """
         client = ClientConnection(self, accepted.sock, accepted.earliest_connect_ms)
         self.connections[client] = None
 
     def ensure_capacity(self, reserved: int) -> bool:
-        """Whether another connection may be accepted besides `reserved` ones; closes idle ones for it."""
+        """Return whether another connection may be accepted in addition to `reserved` accepted ones.
+
+        At the connection limit, idle connections are closed to free capacity.
+        """
         is_full = len(self.connections) + reserved >= self._max_connections
         return not is_full or self._evict_idle()
 
     def _evict_idle(self) -> bool:
-        """Close connections without pending requests; whether any was closed.
+        """Close idle connections; return whether any was closed.
 
-        All that had enough time for a first message and sent nothing are closed. Where there is none, the
-        first one in the order of eviction is. Those with unread data are about to send a request, and stay.
+        All clients that have sent nothing within FIRST_MESSAGE_GRACE_MS are closed. If there are none, the
+        first connection in eviction order is closed. Connections with unread data are kept, as the data may
+        be a request.
         """
         idle = [client for client in self.connections if client.is_idle()]
         grace_start_ms = monotonic_ms() - FIRST_MESSAGE_GRACE_MS
@@ -92,29 +97,29 @@
                 return True
         return False
 
-    # --- the connections ------------------------------------------------------------------------
+    # --- connections ----------------------------------------------------------------------------
 
     def unwritten_bytes(self) -> int:
-        """Bytes of answers to all clients that have yet to be written."""
+        """Return the size of all answers, to all clients, that are not written yet."""
         return sum(client.connection.pending_bytes for client in self.connections)
 
     def has_unwritten_answers(self) -> bool:
-        """Whether an answer to any client has yet to be written."""
+        """Whether an answer to any client is not written yet."""
         return self.unwritten_bytes() > 0
 
     def has_unread_data(self) -> bool:
-        """Whether anything that a client sent is unread, also on connections that are yet to be accepted."""
+        """Whether data from any client may be unread, including clients whose connection is not accepted."""
         if not self._acceptor.is_paused:
             self._acceptor.accept_pending()
         return self._acceptor.is_paused or any(client.has_unread_data() for client in self.connections)
 
     def on_client_closed(self, client: ClientConnection, reason: CloseReason) -> None:
-        """Forget a connection that has closed."""
+        """Remove a connection that has closed."""
         self.telemetry.count(CLIENTS_CLOSED, reason.name)
         self.connections.pop(client, None)
 
     def check_timeouts(self) -> None:
-        """Close connections that are idle, or whose message takes too long."""
+        """Close connections that have been idle for too long, or whose next message is overdue."""
         now_ms = monotonic_ms()
         for client in list(self.connections):
             client.check_timeouts(now_ms)
--- a/function_router/net/client_messages.py
+++ b/function_router/net/client_messages.py
@@ -1,44 +1,46 @@
-"""Reads the messages of one client, and says when the next one has taken too long."""
+"""Splits the bytes of one client into messages, and determines when the next message is overdue."""
 
 from function_router.net.clock import monotonic_ms
 from function_router.net.codecs import thrift
 
-# A client has to get an answer or a close within 3 s of connecting.
+# Each client has to be answered or disconnected within 3 s of connecting. The message timeout and the chunk
+# timeout add up to 3 s.
 
-# For the first message, and for the rest of one that has begun.
+# Timeout for the first message, and for the rest of a message that has been received in part.
 MESSAGE_TIMEOUT_MS = 2_300.0
-# From one chunk of a message to the next. Together with the message timeout this is 3 s.
+# Timeout between two chunks of a message.
 CHUNK_TIMEOUT_MS = 700.0
-# After so many chunks of a message, the next one may take as long as the message timeout: clients that stop
-# halfway send fewer.
+# From this number of chunks of a message on, the message timeout applies to the next chunk instead of the
+# chunk timeout. Clients that stop in the middle of a message send fewer chunks.
 MIN_STEADY_CHUNKS = 3
-# For a whole message, even if its chunks arrive steadily.
+# Timeout for a whole message, even if its chunks arrive steadily.
 MAX_MESSAGE_MS = 30_000.0
-# For the rest of an oversized message, which was answered with an exception when its header had arrived.
+# Timeout for the rest of an oversized message, which is answered with an exception once its header arrives.
 SKIP_TIMEOUT_MS = 6_000.0
 
 
 class ClientMessages:
-    """Splits what a client sends into messages, and times them.
+    """Splits the bytes of a client into messages, and measures how long they take to arrive.
 
-    Without the time limits, clients that send nothing or half a message would use up the file descriptors.
+    Without time limits, clients that send nothing or an incomplete message would exhaust the file
+    descriptors.
 
     Attributes:
-        has_received_message: Whether a complete message, valid or not, has arrived.
+        has_received_message: Whether a complete message, valid or not, has been received.
     """
 
     __slots__ = ("_chunk_count", "_frames", "_waiting_since_ms", "has_received_message")
 
     def __init__(self) -> None:
-        """Wait from now on for the first message."""
+        """Start to wait for the first message."""
         self.has_received_message = False
         self._frames = thrift.FrameReader()
         self._chunk_count = 0  # reads since the last one that completed a message
-        self._waiting_since_ms = monotonic_ms()  # the client connected, or the incomplete message began
+        self._waiting_since_ms = monotonic_ms()  # when the client connected, or the partial message began
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a message has begun and is not complete yet."""
+        """Whether a message has been received in part."""
         return self._frames.has_partial_frame
 
     @property
@@ -47,7 +49,10 @@
         return self.has_received_message or self._frames.has_partial_frame
 
     def feed(self, data: bytes) -> list[thrift.MessageOrError]:
-        """Add bytes; return the messages that are complete now, in order, or errors in their places."""
+        """Add received bytes; return the messages that they complete, in order.
+
+        A message that is malformed is returned as an error.
+        """
         had_partial_message = self._frames.has_partial_frame
         messages = self._frames.feed(data)
         if messages or (self.has_received_message and not had_partial_message):
@@ -60,11 +65,11 @@
         return messages
 
     def is_overdue(self, now_ms: float, last_received_ms: float) -> bool:
-        """Whether the first message, or the rest of one that has begun, has taken too long.
+        """Whether the first message, or the rest of a partial message, has taken too long.
 
         Args:
             now_ms: The time on the monotonic clock.
-            last_received_ms: When bytes were last received.
+            last_received_ms: When bytes were last received, on the monotonic clock.
         """
         has_partial_message = self._frames.has_partial_frame
         if self.has_received_message and not has_partial_message:
--- a/function_router/net/client_request.py
+++ b/function_router/net/client_request.py
@@ -1,7 +1,7 @@
-"""A client's request and its answer, independent of the protocol that the client uses.
+"""A client's request and its answer, independent of the client protocol.
 
-Another client protocol can be put in front of the same request table: it makes a `ClientRequest` of each
-message, and encodes the `FinalAnswer` that `reply` is called with.
+To support another client protocol, convert each of its messages to a `ClientRequest`, admit that to the
+request table, and encode the `FinalAnswer` with which `reply` is called.
 """
 
 from collections.abc import Callable
@@ -11,17 +11,17 @@
 
 
 class Served(Struct, frozen=True):
-    """A worker ran the request."""
+    """A worker has run the request."""
 
     body: bytes
     name: ClassVar[str] = "served"
 
 
 class Rejected(Struct, frozen=True):
-    """The request was not served, and the client may safely send it again.
+    """The request was not served, and the client can safely retry it.
 
     Attributes:
-        retry_after_ms: How long the client should wait before that; 0 where there is no advice.
+        retry_after_ms: How long the client should wait before it retries; 0 without such advice.
     """
 
     retry_after_ms: float
@@ -29,29 +29,29 @@
 
 
 class Failed(Struct, frozen=True):
-    """The request may or may not have run, so that a retry may run it twice."""
+    """The request may or may not have run, so a retry may run it twice."""
 
     name: ClassVar[str] = "failed"
 
 
 FinalAnswer = Served | Rejected | Failed
-"""The one answer that a client gets."""
+"""The one answer that a client gets to a request."""
 
 
 class Invocation(Struct, frozen=True):
-    """What a client asks for: to have a function run.
+    """The call of a function that a client requests.
 
     Attributes:
-        request_id: The client's own id of the request, eight bytes; unique among pending requests.
+        request_id: The id that the client gave the request, eight bytes; unique among pending requests.
         class_name: Name of the request class.
-        tenant: Name of the tenant; empty where none was given and none is required.
+        tenant: Name of the tenant; empty if none was given and none is required.
         function: Name of the function, 16 hexadecimal digits.
         timeout_ms: How long the client waits for the answer.
-        body: What the function is to be run on.
-        idempotency_key: Names the request to workers that drop repeats; empty where there is none.
-        concurrency: Requests that one instance of the function may run at once.
-        memory_mb: Memory that one instance takes; None where the client does not say.
-        expected_start_ms: How long an instance takes to start; None where the client does not say.
+        body: The input of the function.
+        idempotency_key: The key by which workers deduplicate the request; empty without one.
+        concurrency: Maximum number of requests that one instance of the function runs at once.
+        memory_mb: Memory that one instance needs; None if the client does not specify it.
+        expected_start_ms: How long an instance takes to start; None if the client does not specify it.
     """
 
     request_id: bytes
@@ -67,14 +67,14 @@
 
 
 class ClientRequest(Struct, frozen=True):
-    """An invocation that has been read, and how to answer it.
+    """An invocation that was received, and the callbacks to its client.
 
     Attributes:
-        invocation: What the client asks for.
+        invocation: The function call that the client requests.
         age_ms: How long the last bytes of the request were unread.
-        reply: Sends the answer to the client; to be called once.
-        is_client_connected: Whether the client still waits. A client that has disconnected may be found by
-            this call, which then closes its connection.
+        reply: Sends the answer to the client; must be called only once.
+        is_client_connected: Returns whether the client still waits. If this call detects that the client has
+            disconnected, it closes the connection.
     """
 
     invocation: Invocation
@@ -84,5 +84,5 @@
 
     @property
     def timeout_ms(self) -> float:
-        """How much longer the client waits for the answer, from when the request was read."""
+        """How long the client still waits for the answer after the request was read."""
         return max(0.0, self.invocation.timeout_ms - self.age_ms)
--- a/function_router/net/client_session.py
+++ b/function_router/net/client_session.py
@@ -1,4 +1,4 @@
-"""The conversation with one client over Thrift: its messages, its pending requests and their answers."""
+"""The Thrift session with one client: handles its messages, and answers its pending requests."""
 
 import math
 from typing import Protocol
@@ -20,21 +20,21 @@
 from function_router.net.request_table import RequestTable
 from function_router.net.telemetry import Telemetry
 
-# The log lines on clients share a rate limit of their own.
+# Log lines about clients have a separate rate limit, which all clients share.
 LOG_SOURCE = "clients"
-# Of one client.
+# Maximum number of pending requests of one client.
 MAX_PENDING_REQUESTS = 32
 
 
 class ClientService(Protocol):
-    """What the sessions of all clients share.
+    """The state that the sessions of all clients share.
 
     Attributes:
         table: Admits the requests.
         telemetry: The log, the counters and the run-time checks.
         classes: The request classes by name.
-        tenants: Names of the tenants that may send requests; empty where any may.
-        is_ready: The answer to status requests.
+        tenants: Names of the tenants that may send requests; empty if any tenant may.
+        is_ready: Whether the router is ready, which is the answer to status requests.
     """
 
     table: RequestTable
@@ -48,19 +48,19 @@
     """Handles the messages of one client, and answers each of its requests once.
 
     Attributes:
-        pending: Keys of the pending requests in the request table, by sequence number.
+        pending: The request-table key of each pending request, by sequence number.
     """
 
     __slots__ = ("_connection", "_service", "pending")
 
     def __init__(self, service: ClientService, connection: Connection) -> None:
-        """Begin a session without requests; answers are written to the connection."""
+        """Create a session without requests, which writes answers to `connection`."""
         self.pending: dict[int, str] = {}
         self._service = service
         self._connection = connection
 
     def on_message(self, message: thrift.MessageOrError, age_ms: float) -> None:
-        """Handle a message that was unread for `age_ms`, or the error of one that could not be read."""
+        """Handle a message that was unread for `age_ms`, or the error of a malformed message."""
         match message:
             case thrift.Handle():
                 self._on_handle(message, age_ms)
@@ -72,14 +72,14 @@
                 self._on_malformed_message(message)
 
     def fail_pending_and_close(self, reason: CloseReason) -> None:
-        """Fail the pending requests, so that each has its answer, and close once all is written."""
+        """Answer the pending requests with a failure, and close once all answers are written."""
         for seqid, key in list(self.pending.items()):
             self._service.table.cancel_request(key)
             self._reply(seqid, Failed())
         self._connection.close_after_flush(reason)
 
     def cancel_pending(self) -> None:
-        """Cancel the pending requests without an answer: the client is gone."""
+        """Cancel the pending requests without an answer, as the client has disconnected."""
         keys = list(self.pending.values())
         self.pending = {}
         for key in keys:
@@ -94,7 +94,8 @@
             error.seqid = message.seqid
             self._on_malformed_message(error)
             return
-        # The check whether another request with this id is pending may have found that this client is gone.
+        # Parsing checks whether the request id is already pending, which may detect that the client of that
+        # request has disconnected and close its connection. That client can be this one.
         if self._connection.is_closed:
             return
         seqid = message.seqid
@@ -108,10 +109,10 @@
             self.pending[seqid] = admitted
 
     def _parse(self, message: thrift.Handle) -> Invocation:
-        """Parse a request, and check it against the pending ones.
+        """Parse a request, and check it against the pending requests.
 
         Raises:
-            MalformedMessageError: Where the request can't be admitted as it is.
+            MalformedMessageError: The request is invalid, conflicts with a pending one or exceeds the limit.
         """
         if message.seqid in self.pending:
             reason = "a second request under an open number"
@@ -120,7 +121,7 @@
             reason = "too many open requests"
             raise thrift.MalformedMessageError(reason)
         invocation = parse_invocation(message, self._service.classes, self._service.tenants)
-        # Clients take a new id for each request, also for one that they send again.
+        # Clients use a new id for each request, including retries.
         if self._service.table.is_pending(invocation.request_id):
             raise InvalidFieldError(FIELD_REQUEST_ID, "the id of an open request")
         return invocation
@@ -135,11 +136,12 @@
         self._connection.write(thrift.encode_reply(thrift.METHOD_STATUS, message.seqid, b"", is_ok=is_ready))
 
     def _on_malformed_message(self, error: thrift.MalformedMessageError) -> None:
-        """Answer with an exception; close the connection where the client could not tell what that is for.
+        """Answer a malformed message with an exception, or close the connection if that is ambiguous.
 
-        Under the sequence number of a pending request it would pass for that request's answer.
+        A client cannot match an exception without a sequence number to a message, and would take one with the
+        sequence number of a pending request for the answer to that request.
         """
-        self._service.telemetry.log(f"client: {error}", LOG_SOURCE)
+        self._service.telemetry.log(f"malformed message from a client: {error}", LOG_SOURCE)
         if error.seqid is None or error.seqid in self.pending:
             self.fail_pending_and_close(CloseReason.PROTOCOL_ERROR)
         else:
@@ -148,22 +150,22 @@
     # --- answers ------------------------------------------------------------------------------
 
     def _is_client_connected(self) -> bool:
-        """Whether the client still waits; its disconnect may have arrived and not have been read yet."""
+        """Whether the client is still connected; closes the connection if its disconnect is still unread."""
         if self._connection.has_peer_closed():
             self._connection.close(CloseReason.CLOSED_BY_PEER)
         return not self._connection.is_closed
 
     def _reply(self, seqid: int, answer: FinalAnswer) -> None:
-        """Answer a pending request, and forget it."""
+        """Answer a pending request, and remove it."""
         if self.pending.pop(seqid, None) is None:
-            detail = f"a second one under number {seqid}"
+            detail = f"second answer for sequence number {seqid}"
             self._service.telemetry.invariants.record(Invariant.ONE_ANSWER, detail)
             return
         self._connection.write(encode_answer(seqid, answer))
 
 
 def encode_answer(seqid: int, answer: FinalAnswer) -> bytes:
-    """The message that answers the request with this sequence number."""
+    """Encode the answer to the request with this sequence number."""
     match answer:
         case Served():
             return thrift.encode_reply(thrift.METHOD_HANDLE, seqid, answer.body, is_ok=True)
--- a/function_router/net/codecs/__init__.py
+++ b/function_router/net/codecs/__init__.py
@@ -1,1 +1,1 @@
-"""Wire formats: bytes to messages and back, without sockets, time or decisions."""
+"""Codecs: convert bytes to messages and back, without sockets, clocks or decisions."""
--- a/function_router/net/codecs/thrift.py
+++ b/function_router/net/codecs/thrift.py
@@ -1,7 +1,7 @@
-"""Thrift for the one service that clients call: what the other modules use of the codec.
+"""The public interface of the codec of the Thrift service that clients call.
 
-`thrift_protocol` has the constants, messages and errors, `thrift_reader` turns bytes into messages and
-`thrift_writer` turns answers into bytes.
+`thrift_protocol` defines the constants, messages and errors, `thrift_reader` decodes messages and
+`thrift_writer` encodes answers.
 """
 
 from function_router.net.codecs.thrift_protocol import (
--- a/function_router/net/codecs/thrift_arguments.py
+++ b/function_router/net/codecs/thrift_arguments.py
@@ -1,4 +1,4 @@
-"""Reads the arguments of a Thrift message."""
+"""Decodes the arguments of a Thrift message."""
 
 import struct
 
@@ -18,29 +18,29 @@
     MalformedMessageError,
 )
 
-# How deep values may be nested in a field that is skipped.
+# Maximum nesting depth of the values in a field that is skipped.
 MAX_NESTING_DEPTH = 16
-# The service's own map of fields has fewer than ten.
+# Maximum number of entries of a map; the map of fields that the service uses has fewer than ten.
 MAX_MAP_ENTRIES = 64
 
-# Sizes in bytes of the types that no method of the service uses.
+# Sizes in bytes of the fixed-size types that no method of the service uses.
 SKIPPED_TYPE_SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I64: 8}
-# Bytes of a field id.
+# Size of a field id in bytes.
 FIELD_ID_SIZE = 2
-# The smallest value of any type takes one byte.
+# Minimum size of a list item: the smallest value of any type takes one byte.
 MIN_LIST_ITEM_SIZE = 1
-# A key and a value.
+# Minimum size of a map entry, which is a key and a value.
 MIN_MAP_ENTRY_SIZE = 2
 
 _I16 = struct.Struct(">h")
 _I32 = struct.Struct(">i")
 
 Value = bytes | int | dict[bytes, "Value"] | None
-"""A value of a type that the service uses; None for one of another type, which was skipped."""
+"""A value of a type that the service uses; None for a skipped value of another type."""
 
 
 class Arguments:
-    """The fields of an argument struct by type and field id; of a repeated field, the last value."""
+    """The fields of an argument struct by type and field id; for a repeated field, its last value."""
 
     __slots__ = ("_values",)
 
@@ -48,26 +48,25 @@
         self._values = values
 
     def string(self, field_id: int) -> bytes | None:
-        """The string of this id; None where there is none."""
+        """Return the string with a field id; None if there is none."""
         value = self._values.get((STRING, field_id))
         return value if isinstance(value, bytes) else None
 
     def i32(self, field_id: int) -> int | None:
-        """The 32-bit integer of this id; None where there is none."""
+        """Return the 32-bit integer with a field id; None if there is none."""
         value = self._values.get((I32, field_id))
         return value if isinstance(value, int) else None
 
     def map(self, field_id: int) -> dict[bytes, Value] | None:
-        """The entries of the map of this id whose keys are strings; None where there is no map."""
+        """Return the entries with string keys of the map with a field id; None if there is no such map."""
         value = self._values.get((MAP, field_id))
         return value if isinstance(value, dict) else None
 
 
 class ArgumentReader:
-    """Reads one argument struct; fields that the service does not use are checked and skipped.
+    """Decodes one argument struct; fields that the service does not use are validated and skipped.
 
-    Besides `MalformedMessageError`, its methods raise `struct.error` and `IndexError` where the data ends too
-    early.
+    Besides `MalformedMessageError`, its methods raise `struct.error` or `IndexError` on truncated data.
     """
 
     __slots__ = ("_data", "_position")
@@ -77,7 +76,7 @@
         self._position = position
 
     def read(self) -> Arguments:
-        """Read the struct, which has to extend to the end of the data."""
+        """Read the struct, which must extend to the end of the data."""
         values: dict[tuple[int, int], Value] = {}
         while (field_type := self._read_byte()) != STOP:
             (field_id,) = _I16.unpack_from(self._data, self._position)
@@ -113,7 +112,10 @@
         return value
 
     def _read_count(self, min_item_size: int) -> int:
-        """Read a number of items; one that the rest of the frame can't hold is rejected before any work."""
+        """Read a number of items.
+
+        A number that does not fit into the rest of the frame is rejected before any item is read.
+        """
         count = self._read_i32()
         if not 0 <= count <= (len(self._data) - self._position) // min_item_size:
             reason = "a length that the frame can't hold"
@@ -127,7 +129,7 @@
         return self._data[start : self._position]
 
     def _read_map(self, depth: int) -> dict[bytes, Value]:
-        """Read a map; entries whose key is not a string are left out."""
+        """Read a map; entries whose key is not a string are omitted."""
         key_type = self._read_byte()
         value_type = self._read_byte()
         count = self._read_count(MIN_MAP_ENTRY_SIZE)
--- a/function_router/net/codecs/thrift_protocol.py
+++ b/function_router/net/codecs/thrift_protocol.py
@@ -1,4 +1,4 @@
-"""Constants, messages and errors of the one Thrift service that clients call.
+"""Constants, messages and errors of the Thrift service that clients call.
 
 The wire format is Thrift's framed transport with the strict binary protocol, as described in
 https://github.com/apache/thrift/blob/master/doc/specs/thrift-binary-protocol.md.
@@ -8,19 +8,19 @@
 
 from function_router.errors import FunctionRouterError
 
-# The first word of a message holds the version and, in its lowest byte, the type of the message.
+# The first word of a message contains the version and, in its lowest byte, the message type.
 VERSION = 0x80010000
 VERSION_MASK = 0xFFFF0000
 MESSAGE_TYPE_MASK = 0xFF
 
-# Types of messages.
+# Message types.
 CALL = 1
 REPLY = 2
 EXCEPTION = 3
 ONEWAY = 4
 
-# Types of fields.
-STOP = 0  # ends a struct
+# Field types.
+STOP = 0  # the end of a struct
 BOOL = 2
 BYTE = 3
 DOUBLE = 4
@@ -33,12 +33,12 @@
 SET = 14
 LIST = 15
 
-# Kinds of application exceptions, which Thrift itself defines.
+# Kinds of application exceptions, as Thrift defines them.
 UNKNOWN_METHOD = 1
 INVALID_MESSAGE_TYPE = 2
 PROTOCOL_ERROR = 7
 
-# The service: its methods and the field ids of their arguments and results.
+# The methods of the service, and the field ids of their arguments and results.
 METHOD_HANDLE = "handle"
 METHOD_WITHDRAW = "withdraw"
 METHOD_STATUS = "status"
@@ -51,19 +51,19 @@
 REPLY_BODY_ID = 1
 REPLY_FIELDS_ID = 2
 REPLY_OK_ID = 3
-ERROR_FIELDS_ID = 1  # of the exceptions that the service declares
+ERROR_FIELDS_ID = 1  # the map of fields in an exception that the service declares
 APPLICATION_EXCEPTION_TEXT_ID = 1
 APPLICATION_EXCEPTION_KIND_ID = 2
-FIELD_RETRY_AFTER_MS = "pushback"  # of a throttled request: milliseconds, as text
+FIELD_RETRY_AFTER_MS = "pushback"  # field of the "throttled" exception: milliseconds as decimal text
 
 
 class MalformedMessageError(FunctionRouterError, ValueError):
-    """A frame that is no valid message, or a message that asks for what the service does not offer.
+    """A frame that is not a valid message, or a message that the service does not support.
 
     Attributes:
-        seqid: Sequence number of the message; None where it can't be read.
-        kind: The kind of application exception that answers it.
-        method: The method that was called, as far as that could be read.
+        seqid: Sequence number of the message; None if it cannot be read.
+        kind: Kind of the application exception that answers the message.
+        method: Name of the called method; "handle" if the name cannot be read.
     """
 
     def __init__(self, text: str, seqid: int | None = None, kind: int = PROTOCOL_ERROR) -> None:
@@ -74,11 +74,11 @@
 
 
 class TruncatedMessageError(MalformedMessageError):
-    """A message that ends within its header."""
+    """A message that ends before its header does."""
 
 
 class Handle(Struct, frozen=True):
-    """A request to run a function, with its fields still unchecked."""
+    """A request to run a function, whose fields have not been validated yet."""
 
     seqid: int
     fields: dict[str, str]
@@ -86,17 +86,17 @@
 
 
 class Withdraw(Struct, frozen=True):
-    """The client no longer wants the answer to a request.
+    """The cancellation of a request by its client.
 
     Attributes:
-        seqid: Sequence number of the request that is withdrawn.
+        seqid: Sequence number of the cancelled request.
     """
 
     seqid: int
 
 
 class Status(Struct, frozen=True):
-    """Asks whether the router is ready."""
+    """The question whether the router is ready."""
 
     seqid: int
 
@@ -105,4 +105,4 @@
 """A message that a client sends."""
 
 MessageOrError = Message | MalformedMessageError
-"""What a frame holds: a message, or the error of one that is malformed."""
+"""The content of a frame: a message, or the error of a malformed one."""
--- a/function_router/net/codecs/thrift_reader.py
+++ b/function_router/net/codecs/thrift_reader.py
@@ -1,4 +1,4 @@
-"""Reads messages of clients: splits the byte stream into frames and parses each frame."""
+"""Decodes messages of clients: splits the byte stream into frames and parses each frame."""
 
 import struct
 from collections.abc import Callable
@@ -28,46 +28,46 @@
     Withdraw,
 )
 
-# Of one frame; a body of 16 KiB and its fields take far less.
+# Maximum size of a frame; a body of 16 KiB with its fields is much smaller.
 MAX_FRAME_BYTES = 48 * 1024
-# Bytes of an oversized frame in which its sequence number is searched for.
+# Number of bytes of an oversized frame in which its header, with the sequence number, is searched for.
 MAX_HEADER_BYTES = 256
-# Of what a function is to be run on.
+# Maximum size of a request's body, the input of the function.
 MAX_BODY_BYTES = 16 * 1024
-# Of a method's name; those of the service have 8 at most.
+# Maximum length of a method name; those of the service have at most 8 bytes.
 MAX_METHOD_NAME_BYTES = 64
-# Frame sizes are signed integers: a frame that seems to be larger is not Thrift.
+# Frame sizes are signed 32-bit integers: bytes that state a size from this one on are not Thrift.
 FRAME_SIZE_LIMIT = 2**31
 
 _U32 = struct.Struct(">I")
 _I32 = struct.Struct(">i")
-_METHOD_START = _U32.size + _I32.size  # the method's name follows the version and its own length
+_METHOD_START = _U32.size + _I32.size  # the method name follows the version and the length of the name
 
 
 class FrameReader:
-    """Splits a byte stream into frames, and keeps at most one frame that is not complete yet."""
+    """Splits a byte stream into frames; buffers at most one incomplete frame."""
 
     __slots__ = ("_buffer", "_bytes_to_skip")
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._bytes_to_skip = 0  # of an oversized frame
+        self._bytes_to_skip = 0  # bytes of an oversized frame that are still to be discarded
 
     @property
     def has_partial_frame(self) -> bool:
-        """Whether a frame has begun and is not complete yet."""
+        """Whether a frame has been received in part."""
         return bool(self._buffer or self._bytes_to_skip)
 
     @property
     def is_skipping(self) -> bool:
-        """Whether more of an oversized frame, which is discarded, has yet to come."""
+        """Whether the rest of an oversized frame, which is discarded, has not been received yet."""
         return self._bytes_to_skip > 0
 
     def feed(self, data: bytes) -> list[MessageOrError]:
-        """Add bytes; return the messages that are complete now, in order.
+        """Add received bytes; return the messages that they complete, in order.
 
-        A frame that is not a valid message is returned as an error. After an error without a sequence number
-        nothing that follows can be read: the connection is to be closed.
+        A frame that is not a valid message is returned as an error. After an error without a sequence number,
+        the connection must be closed, as the rest of the stream cannot be parsed.
         """
         self._buffer += data
         found: list[MessageOrError] = []
@@ -93,7 +93,7 @@
         return found
 
     def _frame_size(self, start: int) -> int | None:
-        """The size of the frame that begins at this position; None until that has come."""
+        """Return the size of the frame that begins at a position; None until that size has been received."""
         if start + _U32.size > len(self._buffer):
             return None
         size: int
@@ -101,13 +101,13 @@
         return size
 
     def _skip_oversized_frame(self, start: int) -> int:
-        """Skip what belongs to an oversized frame from this position on; return how many bytes that is."""
+        """Skip the bytes of an oversized frame from a position on; return the number of skipped bytes."""
         skipped = min(self._bytes_to_skip, len(self._buffer) - start)
         self._bytes_to_skip -= skipped
         return skipped
 
     def _oversized_frame_error(self, start: int, size: int) -> MalformedMessageError | None:
-        """The error of a frame that is too large; None until enough of its header has come."""
+        """Return the error of an oversized frame; None until enough of its header has been received."""
         error = MalformedMessageError(f"a frame of {size} bytes")
         if size >= FRAME_SIZE_LIMIT:
             return error
@@ -121,7 +121,7 @@
 
 
 class MessageHeader(NamedTuple):
-    """The header of a message, and the position at which its arguments start."""
+    """The header of a message, and the position of the arguments behind it."""
 
     message_type: int
     method: str
@@ -133,8 +133,8 @@
     """Parse the header of a message.
 
     Raises:
-        TruncatedMessageError: Where the data ends before the header does.
-        MalformedMessageError: Where it is not a header of the strict binary protocol.
+        TruncatedMessageError: The data ends before the header does.
+        MalformedMessageError: The data is not a header of the strict binary protocol.
     """
     try:
         return _parse_header(data)
@@ -159,7 +159,7 @@
 
 
 def parse_message(data: bytes) -> MessageOrError:
-    """Parse the payload of one frame; return the error where it is not a valid message."""
+    """Parse the payload of one frame; return an error if it is not a valid message."""
     try:
         header = parse_header(data)
     except MalformedMessageError as error:
--- a/function_router/net/codecs/worker_frames.py
+++ b/function_router/net/codecs/worker_frames.py
@@ -1,7 +1,7 @@
 """The codec of the binary frames between routers and workers, without I/O.
 
-A frame is a header (direction, code, length of the fields, length of the body, exchange id), the fields as
-`name=value,name=value`, the body, and a CRC-32 of fields and body. Numbers are big-endian.
+A frame consists of a header (direction, code, length of the fields, length of the body, exchange id), the
+fields as `name=value,name=value`, the body, and a CRC-32 checksum of fields and body. Numbers are big-endian.
 """
 
 import struct
@@ -11,17 +11,17 @@
 
 from function_router.errors import FunctionRouterError
 
-# The first byte of a frame, its direction: who sent it.
+# The direction of a frame, in its first byte: whether a router or a worker sends it.
 FROM_ROUTER = 128
 FROM_WORKER = 129
 
-# The second byte of a router's frame, its code: what the worker is to do.
+# The code of a router's frame, in its second byte: the operation that the worker is to perform.
 RUN = 1
 CANCEL = 2
 CHECK_HEALTH = 3
 ENSURE_INSTANCES = 5
 
-# The second byte of a worker's frame, its code: how the exchange went.
+# The code of a worker's frame, in its second byte: the result of the exchange.
 OK = 0
 NOT_LOADED = 2
 QUEUE_FULL = 3
@@ -30,7 +30,7 @@
 READY = 6
 DRAINING = 7
 
-# The names of the fields.
+# Names of the fields.
 CLASS_FIELD = "kind"
 FUNCTION_FIELD = "obj"
 TIMEOUT_MS_FIELD = "ms"
@@ -39,13 +39,14 @@
 IN_FLIGHT_FIELD = "company"
 START_KIND_FIELD = "res"
 
-# The values of START_KIND_FIELD: what a request did for an instance.
+# Values of START_KIND_FIELD: how the worker obtained an instance for the request.
 REUSED = "reused"
 STARTED = "init"
 JOINED_START = "shared_init"
 START_FAILED = "init_error"
 
-# Far above any body that may be passed to a client: a frame that states more is invalid.
+# Maximum size of a body, far above that of any body that may be passed to a client; a frame that states a
+# larger one is invalid.
 MAX_BODY_BYTES = 256 * 1024
 
 _HEADER = struct.Struct(">BBHI8s")
@@ -53,15 +54,15 @@
 
 
 class FrameError(FunctionRouterError):
-    """Bytes that are not a valid frame; nothing after them can be read."""
+    """Bytes that are not a valid frame; the rest of the stream cannot be parsed."""
 
 
 class Frame(Struct, frozen=True):
     """One decoded frame.
 
     Attributes:
-        code: What the worker is to do, or how the exchange went.
-        exchange_id: The exchange that it opens, cancels or answers; eight bytes.
+        code: The operation that the worker is to perform, or the result of the exchange.
+        exchange_id: Id of the exchange that the frame opens, cancels or answers; eight bytes.
         fields: The fields by name.
         body: The body; may be empty.
     """
@@ -75,7 +76,7 @@
 def encode(
     code: int, exchange_id: bytes, fields: str = "", body: bytes = b"", direction: int = FROM_ROUTER
 ) -> bytes:
-    """Encode a frame; `fields` are already joined as `name=value,name=value`."""
+    """Encode a frame; `fields` must be joined as `name=value,name=value` already."""
     field_bytes = fields.encode()
     checksum = zlib.crc32(body, zlib.crc32(field_bytes))
     header = _HEADER.pack(direction, code, len(field_bytes), len(body), exchange_id)
@@ -83,7 +84,7 @@
 
 
 def parse_fields(data: bytes) -> dict[str, str]:
-    """Decode the fields, by name; a part without a name or without `=` is ignored."""
+    """Decode the fields by name; an element without a name or without `=` is ignored."""
     parts = (part.partition("=") for part in data.decode("utf-8", "replace").split(",") if part)
     return {name: value for name, separator, value in parts if separator and name}
 
@@ -91,7 +92,7 @@
 def encode_run(
     exchange_id: bytes, class_name: str, function: str, timeout_ms: float, idempotency_key: str, body: bytes
 ) -> bytes:
-    """Encode the frame that has a worker run a request; an empty idempotency key is left out."""
+    """Encode the frame that has a worker run a request; an empty idempotency key is omitted."""
     fields = (
         f"{CLASS_FIELD}={class_name},{FUNCTION_FIELD}={function},{TIMEOUT_MS_FIELD}={max(1, int(timeout_ms))}"
     )
@@ -101,14 +102,14 @@
 
 
 def encode_cancel(exchange_id: bytes) -> bytes:
-    """Encode the frame that cancels a request, which the worker doesn't answer."""
+    """Encode the frame that cancels a request; the worker does not answer it."""
     return encode(CANCEL, exchange_id)
 
 
 def encode_ensure_instances(exchange_id: bytes, function: str, instances: int) -> bytes:
-    """Encode the frame that has a worker start instances of a function up to a number; 0 starts none.
+    """Encode the frame that has a worker start instances until it has `instances` of a function.
 
-    The answer states how many instances there are.
+    With 0 it starts none. The answer states how many instances the worker has.
     """
     return encode(ENSURE_INSTANCES, exchange_id, f"{FUNCTION_FIELD}={function},{INSTANCES_FIELD}={instances}")
 
@@ -119,16 +120,16 @@
 
 
 class FrameReader:
-    """Splits the bytes of one connection into frames; buffers at most one incomplete frame.
+    """Splits the byte stream of one connection into frames; buffers at most one incomplete frame.
 
     Attributes:
-        error: What was wrong with the bytes, once there were some that are not a valid frame.
+        error: The error of the first invalid frame; None until there is one.
     """
 
     __slots__ = ("_buffer", "_direction", "error")
 
     def __init__(self, direction: int = FROM_WORKER) -> None:
-        """Read the frames of this direction."""
+        """Create a reader of frames with this direction."""
         self.error: FrameError | None = None
         self._buffer = bytearray()
         self._direction = direction
@@ -139,7 +140,7 @@
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Add received bytes; returns the frames that they complete, up to the first error."""
+        """Add received bytes; return the frames that they complete, up to the first invalid one."""
         self._buffer += data
         frames: list[Frame] = []
         start = 0
--- a/function_router/net/connection.py
+++ b/function_router/net/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection of the event loop: connecting, bounded reads, queued writes and a single close."""
+"""A non-blocking TCP connection on the event loop, with bounded reads and queued writes."""
 
 import contextlib
 import socket
@@ -15,23 +15,23 @@
 from function_router.net.timer_wheel import Timer
 from function_router.net.write_queue import PendingWrite
 
-# Reads of one connection in one turn. The limit keeps one peer from starving the others, and is above 1, as a
-# cancellation comes behind the request that it cancels.
+# Maximum number of reads from one connection in one turn. The limit keeps one peer from starving the others.
+# It is above 1 because a cancellation arrives after the request that it cancels.
 MAX_READS_PER_TURN = 4
-# How long a peer may go on reading, and close by itself, after `close_after_flush`.
+# How long after `close_after_flush` the peer may read the last data and close the connection itself.
 LINGER_MS = 1_000.0
 
 
 class Connection:
     """A non-blocking TCP connection, which owns its socket and has one handler.
 
-    Writes are queued during a turn of the event loop and leave in one system call at its end.
+    Writes are queued during a turn of the event loop and are sent in one system call at its end.
 
     Attributes:
-        loop: The event loop that serves it.
-        handler: The owner, which is notified.
-        reader: Reads from the socket; says how long what was received last had been unread.
-        is_connected: Whether the connection was established; stays True once it is closed.
+        loop: The event loop that serves the connection.
+        handler: The owner of the connection, which is notified of its events.
+        reader: Reads from the socket, and measures how long received bytes were unread.
+        is_connected: Whether the connection was established; stays True after it is closed.
         is_closed: Whether the connection was closed, or could not be established.
         last_received_ms: When bytes were last received, on the monotonic clock.
         last_used_ms: When bytes were last received or written, on the monotonic clock.
@@ -63,7 +63,7 @@
         is_connected: bool,
         unread_since_ms: float | None = None,
     ) -> None:
-        """Take over a non-blocking socket that had nothing unread at `unread_since_ms` (by default: now)."""
+        """Take ownership of a non-blocking socket with no unread data at `unread_since_ms` (default: now)."""
         now_ms = monotonic_ms()
         self.loop = loop
         self.handler = handler
@@ -88,7 +88,7 @@
         handler: ConnectionHandler,
         unread_since_ms: float | None = None,
     ) -> "Connection":
-        """Take over a socket that a listener accepted; its peer connected at `unread_since_ms` or later."""
+        """Take ownership of an accepted socket, whose peer connected at `unread_since_ms` or later."""
         sockets.configure_socket(sock)
         return cls(loop, sock, handler, is_connected=True, unread_since_ms=unread_since_ms)
 
@@ -96,9 +96,9 @@
     def connect(
         cls, loop: EventLoop, address: Address, handler: ConnectionHandler, timeout_ms: float
     ) -> "Connection | CloseReason":
-        """Begin to connect; the handler is notified once that succeeds, fails or takes too long.
+        """Start to connect; the handler is notified of success, failure or a timeout.
 
-        Where connecting fails at once, the reason is returned instead, and the handler is not notified.
+        If connecting fails at once, the reason is returned instead, and the handler is not notified.
         """
         try:
             sock = sockets.begin_connect(address)
@@ -123,11 +123,11 @@
 
     @property
     def last_write_ms(self) -> float:
-        """When the last write began, on the monotonic clock."""
+        """When the last write to the socket started, on the monotonic clock."""
         return self._writer.last_write_ms
 
     def write(self, data: bytes) -> PendingWrite:
-        """Queue bytes for the write at the end of this turn; on a closed connection they are dropped."""
+        """Queue bytes to be written at the end of this turn; on a closed connection they are dropped."""
         pending_write = PendingWrite(data)
         if not self.is_closed:
             self._writer.queue.append(pending_write)
@@ -135,24 +135,24 @@
         return pending_write
 
     def cancel_write(self, pending_write: PendingWrite) -> bool:
-        """Remove a write from the queue; False where a part of it has been written already."""
+        """Remove a write from the queue; return False if any of it has been written already."""
         return self._writer.queue.cancel(pending_write)
 
     def replace_write(self, pending_write: PendingWrite, data: bytes) -> bool:
-        """Write other bytes in its place; False where a part of it has been written already."""
+        """Replace the bytes of a queued write; return False if any of it has been written already."""
         return self._writer.queue.replace(pending_write, data)
 
     def on_delayed(self) -> None:
-        """Let the handler reconsider what is queued, as it is written late; the event loop calls this."""
+        """Notify the handler that queued writes are delayed; the event loop calls this."""
         if not self.is_closed and self._writer.queue:
             self.handler.on_write_delayed()
 
     def flush(self) -> None:
-        """Write what is queued, as far as the socket takes it; the event loop calls this."""
+        """Write as much of the queue as the socket accepts; the event loop calls this."""
         if self.is_connected and not self.is_closed and not self._writer.is_blocked:
             if self._writer.queue:
                 self._write_queued()
-            else:  # the write for which it was blocked has been cancelled
+            else:  # the write that was blocked has been cancelled
                 self._update_mask()
         if self._close_reason_after_flush and not self.is_closed and not self._writer.queue:
             with contextlib.suppress(OSError):
@@ -170,15 +170,15 @@
     # --- reading ------------------------------------------------------------------------------
 
     def peek(self) -> PeekResult:
-        """What would be read next; it stays unread."""
+        """Return what the next read would find, without reading it."""
         return sockets.peek(self._sock)
 
     def has_peer_closed(self) -> bool:
-        """Whether the peer has closed, even if bytes that it sent before are still unread."""
+        """Whether the peer has closed the connection, even if bytes that it sent before are unread."""
         return self.is_closed or sockets.has_peer_closed(self._sock)
 
     def set_reading(self, *, enabled: bool) -> None:
-        """Stop or resume reading: backpressure on a peer that does not read its replies."""
+        """Pause or resume reading, as backpressure on a peer that does not read its replies."""
         if self._is_reading != enabled and not self.is_closed:
             self._is_reading = enabled
             self.reader.on_watch_resumed()
@@ -186,8 +186,8 @@
 
     def _update_mask(self) -> None:
         mask = (READ if self._is_reading else 0) | (WRITE if self._writer.is_blocked else 0)
-        # A selector takes no empty mask. A connection that stopped reading without being blocked keeps its
-        # mask; that is rare, as reading stops only for a peer that does not read its replies.
+        # A selector does not accept an empty mask. A connection that neither reads nor waits to write keeps
+        # its mask; this is rare, as reading pauses only for a peer that does not read its replies.
         if mask and mask != self._mask and not self.is_closed:
             self._mask = mask
             self.loop.modify(self._sock, mask, self._on_ready)
@@ -235,8 +235,8 @@
         self.last_used_ms = self.last_received_ms
         try:
             self.handler.on_data(data)
-        except Exception:  # noqa: BLE001 - whatever a peer sends, it costs no more than its own connection
-            self.loop.report_exception("reading")
+        except Exception:  # noqa: BLE001 - bytes from one peer must not affect other connections
+            self.loop.report_exception("a connection handler")
             self.close(CloseReason.PROTOCOL_ERROR)
 
     # --- closing ------------------------------------------------------------------------------
@@ -247,10 +247,10 @@
         return self._close_reason_after_flush is not None
 
     def close_after_flush(self, reason: CloseReason) -> None:
-        """Write what is queued and shut the sending side down; close when the peer does, or after LINGER_MS.
+        """Write what is queued, shut down the sending side, and close when the peer does or after LINGER_MS.
 
-        What is received in the meantime is discarded: a close with bytes unread would make the kernel reset
-        the connection, and the peer could lose the last replies.
+        Bytes received in the meantime are read and discarded: closing with unread bytes would make the kernel
+        reset the connection, and the peer could lose the last replies.
         """
         if not self.is_closed and not self._close_reason_after_flush:
             self._close_reason_after_flush = reason
@@ -258,14 +258,15 @@
             self.loop.flush_later(self)
 
     def close(self, reason: CloseReason) -> None:
-        """Close at once, drop what is queued and notify the handler; further calls do nothing."""
+        """Close at once, drop queued writes and notify the handler; further calls do nothing."""
         if self.is_closed:
             return
         self.is_closed = True
         if self._connect_timer:
             self._connect_timer.cancel()
         self.loop.unregister(self._sock)
-        # With bytes unread this is a reset, by which a client knows that its request was not accepted.
+        # If bytes are unread, the kernel resets the connection, which tells a client that its request was not
+        # accepted.
         self._sock.close()
         self._writer.queue.clear()
         handler = self.handler
--- a/function_router/net/connection_handler.py
+++ b/function_router/net/connection_handler.py
@@ -1,4 +1,4 @@
-"""What a connection notifies its owner of."""
+"""The interface through which a connection notifies its owner."""
 
 from typing import Protocol
 
@@ -6,29 +6,29 @@
 
 
 class ConnectionHandler(Protocol):
-    """The owner of a connection, which is notified of what happens on it."""
+    """The owner of a connection, which is notified of its events."""
 
     def on_connected(self) -> None:
-        """The connection is established; not called for an accepted one."""
+        """Handle the establishment of the connection; not called for an accepted one."""
 
     def on_data(self, data: bytes, /) -> None:
-        """Bytes were received. An exception closes the connection with PROTOCOL_ERROR."""
+        """Handle received bytes. An exception closes the connection with PROTOCOL_ERROR."""
 
     def on_flushed(self) -> None:
-        """The write at the end of a turn is done; `pending_bytes` may be left."""
+        """Handle the end of the write at the end of a turn, which may leave `pending_bytes` queued."""
 
     def on_write_delayed(self) -> None:
-        """What is queued is about to be written, but later than intended.
+        """Handle a delay: queued writes are about to be sent later than intended.
 
-        It may be cancelled, or replaced where nothing of it was written.
+        A write of which nothing has been sent yet may be cancelled or replaced.
         """
 
     def on_closed(self, reason: CloseReason, /) -> None:
-        """The connection is closed. Called once, and last."""
+        """Handle the close of the connection. This is the last call, and happens once."""
 
 
 class _ClosedConnectionHandler:
-    """Ignores whatever it is notified of."""
+    """Ignores all events."""
 
     def on_connected(self) -> None: ...
 
@@ -42,8 +42,8 @@
 
 
 CLOSED_CONNECTION_HANDLER: ConnectionHandler = _ClosedConnectionHandler()
-"""Replaces the handler of a connection that is closed.
+"""The handler of each closed connection.
 
-A handler and its connection refer to each other: without this, both would stay in memory until a full garbage
-collection, and those become rare in a process that runs for long.
+A handler and its connection refer to each other. If the handler were not replaced, both would stay in memory
+until a full garbage collection, which becomes rare in a long-running process.
 """
--- a/function_router/net/decision_host.py
+++ b/function_router/net/decision_host.py
@@ -1,4 +1,4 @@
-"""Hosts the decision module in the event loop: batches of events go in, its actions are carried out."""
+"""Runs the decision module in the event loop: passes it batches of events and performs its actions."""
 
 from collections.abc import Callable
 from typing import assert_never
@@ -9,40 +9,41 @@
 from function_router.net.event_loop import EventLoop
 from function_router.net.request_table import RequestTable
 
-# After an exception, the decision module's own timer may be lost; this one then takes its place.
+# Delay of a timer that replaces the decision module's own timer, which an exception may have lost.
 RECOVERY_TIMER_MS = 40.0
 RECOVERY_TIMER_TOKEN = 0
 
 
 class DecisionHost:
-    """Hands events to the decision module and carries out its actions in their order.
+    """Passes events to the decision module and performs its actions in order.
 
-    An exception of the decision module or of an action is logged and ends nothing else.
+    An exception in the decision module or in an action is logged, and does not affect other actions.
     """
 
     def __init__(
         self, router: Router, loop: EventLoop, table: RequestTable, log: Callable[[str], None]
     ) -> None:
-        """Carry out the actions of `router` on the request table and the loop's timers."""
+        """Create a host that performs the actions of `router` on the request table and the loop's timers."""
         self._router = router
         self._loop = loop
         self._table = table
         self._log = log
 
     def handle(self, now_ms: float, events: list[Event]) -> None:
-        """Hand over a batch of events, whose time on the decisions' clock is `now_ms`."""
+        """Pass a batch of events to the decision module; `now_ms` is the time on its clock."""
         self._table.begin_batch(now_ms)
         try:
             decided = self._router.handle(now_ms, events)
-        except Exception:  # noqa: BLE001 - it is reported; each pending request has a deadline timer
-            self._loop.report_exception("the decisions")
+        except Exception:  # noqa: BLE001 - the deadline timer still answers each pending request
+            self._loop.report_exception("the decision module")
             self._loop.timers.call_later(RECOVERY_TIMER_MS, self._fire_recovery_timer)
-            decided = self._router.take_actions()  # decided before the exception, as the state records
+            # The state of the decision module already includes the actions decided before the exception.
+            decided = self._router.take_actions()
         for action in decided:
             self._loop.call_safely(self._handler_of(action), action)
 
     def _handler_of(self, action: actions.Action) -> Callable[..., None]:  # noqa: PLR0911 (one for each action)
-        """The method that carries out an action; mypy reports an action that has none."""
+        """Return the method that performs an action; mypy reports an action without one."""
         match action:
             case actions.SendRequest():
                 return self._table.send
--- a/function_router/net/drain.py
+++ b/function_router/net/drain.py
@@ -1,4 +1,4 @@
-"""The end of a router process: from SIGTERM until every admitted request has its answer."""
+"""Graceful shutdown: drains the router from SIGTERM until every admitted request is answered."""
 
 from collections.abc import Callable, Iterable
 
@@ -8,22 +8,27 @@
 from function_router.net.event_loop import EventLoop
 from function_router.net.request_table import RequestTable
 
-# New connections and requests may arrive for 0.6 s after SIGTERM; the rest is margin.
+# Minimum duration of a drain. New connections and requests may arrive for 0.6 s after SIGTERM; the rest is
+# a margin.
 LATE_ARRIVALS_MS = 800.0
-# The drain ends after this time, even with requests pending.
+# Maximum duration of a drain, even with pending requests.
 MAX_DRAIN_MS = 20_000.0
-# Between checks of whether the drain is complete.
+# Interval between checks of whether the drain is complete.
 CHECK_INTERVAL_MS = 20.0
-# SIGKILL may follow SIGTERM after the longest timeout of a class, limited to this time ...
+
+# SIGKILL may follow SIGTERM after the longest timeout of the request classes, up to MAX_KILL_TIMEOUT_MS, plus
+# KILL_GRACE_MS.
 MAX_KILL_TIMEOUT_MS = 3_000.0
-# ... plus this time.
 KILL_GRACE_MS = 700.0
-# The last answers are sent this long before SIGKILL may come.
+# How long before the earliest SIGKILL the last answers are sent.
 KILL_MARGIN_MS = 200.0
 
 
 class Drain:
-    """Reports the router as not ready, goes on serving, and stops the loop once all requests are answered."""
+    """Reports the router as not ready, continues to serve, and stops the loop once all requests are answered.
+
+    The drain also ends after MAX_DRAIN_MS.
+    """
 
     def __init__(
         self,
@@ -33,7 +38,7 @@
         classes: Iterable[RequestClass],
         log: Callable[[str], None],
     ) -> None:
-        """Prepare to drain; `classes` are those of the requests, whose timeouts say when SIGKILL may come."""
+        """Prepare to drain; the timeouts of the request classes determine when SIGKILL may follow."""
         self._loop = loop
         self._listener = listener
         self._table = table
@@ -43,7 +48,7 @@
         self._started_ms = 0.0  # monotonic; valid once started
 
     def start(self) -> None:
-        """Start to drain; does nothing where that has started already."""
+        """Start to drain; does nothing if the drain has started already."""
         if self._is_started:
             return
         self._log("draining before exit")
@@ -55,7 +60,7 @@
         self._stop_if_complete()
 
     def _stop_if_complete(self) -> None:
-        """Stop the loop if the drain is complete or has taken too long; otherwise check again later."""
+        """Stop the loop if the drain is complete or has timed out; otherwise check again later."""
         drained_for_ms = monotonic_ms() - self._started_ms
         has_timed_out = drained_for_ms > MAX_DRAIN_MS
         if has_timed_out or (drained_for_ms > LATE_ARRIVALS_MS and not self._has_pending_work()):
@@ -64,9 +69,10 @@
             self._loop.timers.call_later(CHECK_INTERVAL_MS, self._stop_if_complete)
 
     def _has_pending_work(self) -> bool:
-        """Whether a request is pending, its answer is not written yet, or its bytes have not been read yet.
+        """Whether a request is pending or unread, or an answer is not written yet.
 
-        A client counts a request as accepted once its connection is, even before it is read here.
+        Clients regard a request as accepted as soon as their connection is accepted, even if the router has
+        not read the request yet.
         """
         listener = self._listener
         return bool(self._table.pending) or listener.has_unwritten_answers() or listener.has_unread_data()
--- a/function_router/net/event_loop.py
+++ b/function_router/net/event_loop.py
@@ -1,4 +1,8 @@
-"""The event loop: each turn reads the ready sockets, fires timers, handles a batch of events, then writes."""
+"""The event loop of the router.
+
+Each turn, which is one iteration of the loop, polls the sockets, calls the callbacks of those that are ready,
+fires due timers, passes a batch of events to the decision module, and flushes queued writes.
+"""
 
 import selectors
 import socket
@@ -11,57 +15,58 @@
 from function_router.net.signal_wakeup import SignalWakeup
 from function_router.net.timer_wheel import TimerWheel
 
-# A turn that takes longer, counted from its last poll, is logged, as replies may miss their deadlines.
+# A turn that takes longer than this after its last poll is logged, as replies may miss their deadlines.
 SLOW_TURN_MS = 80.0
-# A turn that has taken longer polls the sockets again before it writes: the client of a request may have
-# disconnected meanwhile, and an attempt must not start more than 100 ms after that.
+# A turn that takes longer than this after its poll polls the sockets again before it writes: the client of a
+# request may have disconnected, and an attempt must not start more than 100 ms after a disconnect.
 MAX_POLL_AGE_MS = 40.0
-# After a poll that took longer, it is too uncertain when the sockets were examined.
+# If a poll takes longer than this, the time at which it examined the sockets is too uncertain.
 MAX_POLL_UNCERTAINTY_MS = 5.0
-# Polls without a wait that follow such a poll, until one finds something; each may be interrupted as well.
+# Maximum number of non-blocking polls after an uncertain or empty poll; they end with the first that finds a
+# ready socket. There is more than one because each may be interrupted as well.
 MAX_CONFIRMING_POLLS = 2
-# Innermost frames of an unhandled exception that are logged.
+# Number of innermost stack frames of an unhandled exception that are logged.
 TRACEBACK_FRAMES = 3
 
 READ = selectors.EVENT_READ
 WRITE = selectors.EVENT_WRITE
 
 ReadySockets = list[tuple[selectors.SelectorKey, int]]
-"""What a poll has found: registered sockets, each with the mask of what it is ready for."""
+"""The result of a poll: the ready sockets, each with the mask of operations that it is ready for."""
 
 
 class Flushable(Protocol):
-    """Something that queues writes during a turn and writes them at its end."""
+    """An object that queues writes during a turn and sends them at its end."""
 
     def on_delayed(self) -> None:
-        """What is queued is written later than intended, so that some of it may be obsolete."""
+        """Handle a delay of the queued writes, some of which may be obsolete by now."""
 
     def flush(self) -> None:
-        """Write what is queued."""
+        """Send the queued writes."""
 
 
 class EventLoop:
-    """Owns the selector, the timers and the events gathered for the next batch.
+    """Owns the selector, the timers and the events for the next batch.
 
     Attributes:
         timers: The timer wheel, which each turn advances.
         clock: The decision module's clock.
-        is_running: Whether `run` goes on after the current turn.
-        turn_started_ms: When the current turn's poll returned, on the monotonic clock. Whatever happens in a
-            turn counts as of then, even if the process stalls during the turn.
-        turn_started_unix_ms: The same moment on the wall clock.
-        previous_poll_ms: When the poll before the last one began, on the monotonic clock. What that poll did
-            not report arrived later.
+        is_running: Whether `run` continues after the current turn.
+        turn_started_ms: When the last poll returned, on the monotonic clock. Everything that the turn handles
+            counts as of this time, even if the process stalls during the turn.
+        turn_started_unix_ms: The same time on the wall clock.
+        previous_poll_ms: When the poll before the last one began, on the monotonic clock. Data that this poll
+            did not report arrived later.
         wall_clock_step_ms: By how much the wall clock was set between the last two polls.
-        poll_count: How often the sockets were polled since the start.
+        poll_count: Number of polls since the start.
     """
 
     def __init__(self, decide: Callable[[float, list[Event]], None], log: Callable[[str], None]) -> None:
         """Create a loop without sockets.
 
         Args:
-            decide: Called with the time on `clock` and all events of a turn.
-            log: Called with the text of a line.
+            decide: Called with the time on `clock` and the events that were submitted since the last batch.
+            log: Called with the text of each log line.
         """
         self.timers = TimerWheel()
         self.clock = Clock()
@@ -83,23 +88,23 @@
     # --- sockets and events -------------------------------------------------------------------
 
     def register(self, sock: socket.socket, mask: int, ready: Callable[[int], None]) -> None:
-        """Call `ready` with the mask of what a socket is ready for: READ, WRITE or both."""
+        """Watch a socket for the operations in `mask`, and call `ready` with those that it is ready for."""
         self._selector.register(sock, mask, ready)
 
     def modify(self, sock: socket.socket, mask: int, ready: Callable[[int], None]) -> None:
-        """Change the mask or the callback of a registered socket."""
+        """Change the mask and the callback of a registered socket."""
         self._selector.modify(sock, mask, ready)
 
     def unregister(self, sock: socket.socket) -> None:
-        """Stop watching a socket; call it before the socket is closed."""
+        """Stop watching a socket; must be called before the socket is closed."""
         self._selector.unregister(sock)
 
     def submit(self, event: Event) -> None:
-        """Add an event to the next batch; an event submitted while a batch is handled is in the one after."""
+        """Add an event to the next batch; an event submitted during a batch goes to the one after it."""
         self._pending_events.append(event)
 
     def flush_later(self, flushable: Flushable) -> None:
-        """Flush a flushable at the end of the turn, once however often this is called."""
+        """Flush an object once at the end of the turn, even if this is called several times."""
         self._to_flush[flushable] = None
 
     # --- turns --------------------------------------------------------------------------------
@@ -110,11 +115,11 @@
             self.run_once()
 
     def stop(self) -> None:
-        """Have `run` return at the end of the current turn."""
+        """Make `run` return at the end of the current turn."""
         self.is_running = False
 
     def run_once(self, max_wait_s: float | None = None) -> None:
-        """Wait for a socket or a timer, `max_wait_s` at the longest, and run one turn."""
+        """Wait for a socket or a timer, for at most `max_wait_s`, and run one turn."""
         ready = self._poll(self._wait_s(max_wait_s))
         self._run_turn(ready, self.clock.now_ms())
         took_ms = monotonic_ms() - self.turn_started_ms
@@ -125,9 +130,9 @@
         """Wait until a socket is ready, and record the time of the poll.
 
         The time of a poll is taken before its system call, as SIGSTOP may stop the process while the call
-        returns. After a long wait that time would say little, so the sockets are then polled again without
-        waiting, as they are after a poll that found nothing. That also covers a wait that SIGCONT
-        interrupted, which may return without having examined the sockets.
+        returns. After a long wait, this time is too imprecise, so the sockets are polled again without
+        waiting. The same is done after a poll that found nothing, as SIGCONT may interrupt a wait, which then
+        returns without having examined the sockets.
         """
         polled_at_ms = monotonic_ms()
         ready = self._selector.select(wait_s)
@@ -144,9 +149,9 @@
         return ready
 
     def _start_turn(self) -> None:
-        """Count the turn as of now: read both clocks, and note by how much the wall clock was set since.
+        """Set the turn's time from both clocks, and determine by how much the wall clock was set.
 
-        A turn that polls a second time counts as of that poll from then on.
+        This is called after each poll, so a second poll in a turn replaces the turn's time.
         """
         previous_offset_ms = self.turn_started_unix_ms - self.turn_started_ms
         self.turn_started_ms = monotonic_ms()
@@ -156,7 +161,7 @@
         self.clock.record_wall_clock_offset(offset_ms)
 
     def _wait_s(self, max_wait_s: float | None) -> float | None:
-        """How long the next poll may wait for a socket; None where there is no limit."""
+        """Return how long the next poll may wait for a socket; None without a limit."""
         if self._pending_events or self._to_flush:
             return 0.0
         until_timer_s = self.timers.seconds_until_next()
@@ -182,16 +187,16 @@
 
     def _call_ready(self, ready: ReadySockets) -> None:
         for key, mask in ready:
-            # An earlier callback of this turn may have closed the socket, whose descriptor may belong to
-            # another one by now, or may have changed what it is watched for.
+            # An earlier callback of this turn may have changed the socket's mask, or may have closed the
+            # socket, whose descriptor another socket may use by now.
             current = self._selector.get_map().get(key.fd)
             if current is not None and current.fileobj is key.fileobj and mask & current.events:
                 self.call_safely(current.data, mask & current.events)
 
     def _poll_again(self) -> None:
-        """Read what has arrived during a long turn, then notify the parts with queued writes of the delay.
+        """Poll the sockets again after a long turn, then notify the objects with queued writes of the delay.
 
-        A cancellation or a disconnect that is read here still takes back what was not written yet.
+        A cancellation or disconnect that is read here still removes requests that are not written yet.
         """
         self._call_ready(self._poll(0.0))
         for flushable in list(self._to_flush):
@@ -200,26 +205,26 @@
     # --- exceptions ---------------------------------------------------------------------------
 
     def call_safely(self, callback: Callable[..., None], *arguments: object) -> None:
-        """Call a callback; an exception that it raises is logged and goes no further."""
+        """Call a callback; log an exception that it raises instead of propagating it."""
         try:
             callback(*arguments)
-        except Exception:  # noqa: BLE001 - an error in one callback must not end all other connections
+        except Exception:  # noqa: BLE001 - an error in one callback must not affect other connections
             self.report_exception(getattr(callback, "__qualname__", "a callback"))
 
     def report_exception(self, where: str) -> None:
-        """Log the exception that is being handled, as one line."""
+        """Log the exception that is being handled, as one line that names its source."""
         lines = traceback.format_exc(limit=-TRACEBACK_FRAMES)
         self._log(f"unhandled exception in {where}: " + lines.replace("\n", " | "))
 
-    # --- signals and the end ------------------------------------------------------------------
+    # --- signals and shutdown -----------------------------------------------------------------
 
     def handle_signals(self, handlers: dict[int, Callable[[], None]]) -> None:
-        """Call the handlers of signals, which are given by signal number, in turns of the loop."""
+        """Call a handler for each signal, given by signal number, from a turn of the loop."""
         self._signals = SignalWakeup(handlers)
         self.register(self._signals.sock, READ, self._signals.on_readable)
 
     def close(self) -> None:
-        """Close the selector and the sockets for signals; registered sockets are closed by their owners."""
+        """Close the selector and the sockets for signals; the owners of registered sockets close those."""
         if self._signals:
             self._signals.close()
         self._selector.close()
--- a/function_router/net/log.py
+++ b/function_router/net/log.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error, rate-limited."""
+"""A rate-limited log on standard error."""
 
 import io
 import os
@@ -9,31 +9,32 @@
 
 from function_router.net.clock import monotonic_ms
 
-# Of one source; further lines in that second are dropped and counted.
+# Maximum number of lines per source and second; further lines are dropped and counted.
 MAX_LINES_PER_SECOND = 20
-# In characters; the rest of a longer line is cut off. It fits into what a pipe takes at once, PIPE_BUF.
+# Maximum length of a line in characters; longer lines are truncated. A line of this length fits into
+# PIPE_BUF, the size of an atomic write to a pipe.
 MAX_LINE_LENGTH = 600
 
 
 class RateLimitedLog:
-    """A log that no peer can grow without bound: lines beyond the rate are counted instead of written.
+    """A log with a rate limit, so that no peer can make it grow without bound; excess lines are only counted.
 
-    Each source has a rate limit of its own, so that errors of clients do not hide those of workers.
+    Each source has a separate rate limit, so that errors of clients do not displace those of workers.
     """
 
     def __init__(
         self, name: str, out: TextIO | None = None, read_monotonic_ms: Callable[[], float] = monotonic_ms
     ) -> None:
-        """Write lines that begin with `name` to `out`; None: to standard error."""
+        """Create a log that writes lines with the prefix `name` to `out`, by default to standard error."""
         self._name = name
         self._output = _output_to(out or sys.stderr)
         self._read_monotonic_ms = read_monotonic_ms
-        self._second = 0  # the current one, on the monotonic clock
-        self._dropped_count = 0  # lines dropped since that was last logged
-        self._lines_by_source: dict[str, int] = {}  # in the current second
+        self._second = 0  # the current second on the monotonic clock
+        self._dropped_count = 0  # number of lines dropped since it was last logged
+        self._lines_by_source: dict[str, int] = {}  # number of lines in the current second
 
     def __call__(self, text: str, source: str = "") -> None:
-        """Write a line, or drop and count it where its source has reached its limit for this second."""
+        """Write a line, or drop and count it if its source has reached the limit for this second."""
         second = int(self._read_monotonic_ms() // 1000)
         if second != self._second:
             self._begin_second(second)
@@ -49,24 +50,24 @@
         self._lines_by_source = {}
 
     def _write(self, text: str) -> bool:
-        """Write the text as one line; return False where that is not possible now.
+        """Write the text as one line; return False if it cannot be written now.
 
-        Characters that could forge another line are replaced.
+        Non-printable characters are replaced, so that a text cannot forge another line.
         """
         line = "".join(char if char.isprintable() else "?" for char in text[:MAX_LINE_LENGTH])
         try:
             return self._output(f"{self._name}: {line}\n")
-        except OSError:  # the router goes on serving without a log
+        except OSError:  # the router continues to serve without a log
             return False
 
 
 def _output_to(out: TextIO | None) -> Callable[[str], bool]:
-    """A function that writes a line and returns whether it did; without a file, lines are dropped."""
+    """Return a function that writes a line and returns whether it did; without a file it drops lines."""
     if out is None:
         return lambda _line: False
     try:
         descriptor = out.fileno()
-    except (OSError, io.UnsupportedOperation):  # a file in memory
+    except (OSError, io.UnsupportedOperation):  # an in-memory file
         return lambda line: bool(out.write(line))
     return lambda line: _write_without_blocking(descriptor, line)
 
@@ -74,8 +75,8 @@
 def _write_without_blocking(descriptor: int, line: str) -> bool:
     """Write a line unless that would block, as on a full pipe; return whether it was written.
 
-    The descriptor is not set to non-blocking, as other processes may share it. A pipe that poll(2) reports
-    as writable takes PIPE_BUF bytes without blocking (pipe(7)).
+    The descriptor is not made non-blocking, as other processes may share it. A pipe that poll(2) reports as
+    writable accepts PIPE_BUF bytes without blocking (pipe(7)).
     """
     poll = select.poll()
     poll.register(descriptor, select.POLLOUT)
--- a/function_router/net/pending_request.py
+++ b/function_router/net/pending_request.py
@@ -1,4 +1,4 @@
-"""The state of a request from its admission to its final answer."""
+"""The state of a request between its admission and its final answer."""
 
 import math
 
@@ -8,7 +8,7 @@
 from function_router.net.clock import monotonic_ms
 from function_router.net.timer_wheel import Timer
 
-# Steps that are kept of one request: a log line holds no more.
+# Maximum number of trace steps of one request; a log line has no space for more.
 MAX_TRACE_STEPS = 24
 
 
@@ -17,14 +17,14 @@
 
     Attributes:
         key: Identifies the request within this router.
-        client_request: The client's request, and how to answer it.
-        deadline_ms: By when it has to be answered, on the monotonic clock.
+        client_request: The client's request and its callbacks.
+        deadline_ms: By when the request must be answered, on the monotonic clock.
         deadline_timer: Fires at the deadline.
-        attempt_count: How many attempts were sent; the decision module numbers them in the same order.
-        first_run_at_ms: When the earliest ended attempt that may have run was created, on the monotonic
-            clock; infinite where there is none.
-        admitted_at_ms: When it was admitted, on the monotonic clock.
-        trace: What happened to it, for the log.
+        attempt_count: Number of attempts that were sent; the decision module numbers them in the same order.
+        first_run_at_ms: Creation time, on the monotonic clock, of the earliest attempt that has ended and may
+            have run; infinite if there is none.
+        admitted_at_ms: When the request was admitted, on the monotonic clock.
+        trace: The steps of the request, for the log.
     """
 
     key: str
@@ -38,22 +38,22 @@
 
     @property
     def invocation(self) -> Invocation:
-        """What the client asked for."""
+        """The function call that the client requested."""
         return self.client_request.invocation
 
     def take_attempt_number(self) -> int:
-        """The number of the next attempt; each call counts one."""
+        """Return the number of the next attempt, and increment the attempt count."""
         number = self.attempt_count
         self.attempt_count += 1
         return number
 
     def add_trace_step(self, text: str) -> None:
-        """Record a step with the time since admission; dropped once the trace is full."""
+        """Record a step with the time since admission; it is dropped if the trace is full."""
         if len(self.trace) < MAX_TRACE_STEPS:
             self.trace.append(f"+{monotonic_ms() - self.admitted_at_ms:.0f} {text}")
 
     def format_trace(self, answer: FinalAnswer, duration_ms: float) -> str:
-        """Format the log line of the whole request: id, class, function, outcome, times and steps."""
+        """Format the request's log line: id, class, function, kind of answer, times and steps."""
         invocation = self.invocation
         steps = "; ".join(self.trace) or "never sent"
         return (
--- a/function_router/net/pending_requests.py
+++ b/function_router/net/pending_requests.py
@@ -1,9 +1,9 @@
-"""The set of pending requests, within its limits, and the requests that finished a moment ago."""
+"""The pending requests, with their limits, and the requests that have finished recently."""
 
 from function_router.net.client_request import Invocation
 from function_router.net.pending_request import PendingRequest
 
-# Bodies of all pending requests together: a part of the memory limit.
+# Maximum total size of the bodies of all pending requests, which is a part of the memory limit.
 MAX_TOTAL_BODY_BYTES = 32 * 1024 * 1024
 
 
@@ -23,19 +23,19 @@
         self._keys_by_client_id: dict[bytes, str] = {}
 
     def has_capacity_for(self, invocation: Invocation) -> bool:
-        """Whether one more request with this body is within the limits."""
+        """Whether the limits allow one more request, with the body of this invocation."""
         has_free_entry = len(self.by_key) < self._max_requests
         return has_free_entry and self._body_bytes + len(invocation.body) <= MAX_TOTAL_BODY_BYTES
 
     def add(self, request: PendingRequest) -> None:
-        """Add a request, whose key and client's id no other pending request has."""
+        """Add a request; no other pending request may have its key or its client's id."""
         invocation = request.invocation
         self.by_key[request.key] = request
         self._body_bytes += len(invocation.body)
         self._keys_by_client_id[invocation.request_id] = request.key
 
     def remove(self, key: str) -> PendingRequest | None:
-        """Remove and return a request; None where it is not pending."""
+        """Remove and return a request; None if it is not pending."""
         request = self.by_key.pop(key, None)
         if request:
             invocation = request.invocation
@@ -44,21 +44,21 @@
         return request
 
     def find_by_client_id(self, client_request_id: bytes) -> PendingRequest | None:
-        """The request to which its client gave this id; None where there is none."""
+        """Return the request to which its client gave this id; None if there is none."""
         key = self._keys_by_client_id.get(client_request_id)
         return None if key is None else self.by_key[key]
 
     def add_trace_step(self, function: str, text: str) -> None:
-        """Record a step that concerns all requests for a function, such as a start order."""
+        """Record a step, such as a start order, in the traces of all requests for a function."""
         for request in self.by_key.values():
             if request.invocation.function == function:
                 request.add_trace_step(text)
 
 
 class RecentlyFinishedRequests:
-    """The requests that finished since the previous batch of events began.
+    """The requests that have finished since the previous batch of events began.
 
-    The decision module may still send an attempt of one of them, as it has not been notified of the end yet.
+    The decision module may still send attempts of them, as it has not been notified yet that they finished.
     """
 
     __slots__ = ("_in_batch", "_in_previous_batch")
@@ -68,7 +68,7 @@
         self._in_previous_batch: dict[str, PendingRequest] = {}
 
     def begin_batch(self) -> None:
-        """Forget the requests that finished before the previous batch of events."""
+        """Start a batch of events: drop the requests that finished before the previous batch."""
         self._in_previous_batch = self._in_batch
         self._in_batch = {}
 
@@ -77,5 +77,5 @@
         self._in_batch[request.key] = request
 
     def get(self, key: str) -> PendingRequest | None:
-        """The request of this key; None where it is pending, or finished earlier."""
+        """Return the request with a key; None if it is pending or finished earlier."""
         return self._in_batch.get(key) or self._in_previous_batch.get(key)
--- a/function_router/net/reload.py
+++ b/function_router/net/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration at SIGHUP."""
+"""Reload of the configuration on SIGHUP."""
 
 from collections.abc import Callable
 
@@ -8,12 +8,12 @@
 from function_router.net.event_loop import EventLoop
 from function_router.net.transient_errors import is_transient
 
-# A file that can't be read for lack of descriptors or memory is tried again for this time: events of the
-# endpoint log count as known to the router 4 s after SIGHUP.
+# How long reading the file is retried after a transient error, such as a lack of descriptors or memory. The
+# router is expected to know the events of the new endpoint log 4 s after SIGHUP.
 RETRY_MS = 3_000.0
 RETRY_INTERVAL_MS = 50.0
 
-# Attributes of the configuration that take effect at the start only, with their keys in the file.
+# Attributes of the configuration that only take effect at startup, with their keys in the file.
 RESTART_ONLY_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -25,10 +25,10 @@
 
 
 class ConfigurationReload:
-    """Reads the configuration again and moves to its endpoint log. Requests and connections stay.
+    """Reads the configuration again and switches to its endpoint log. Requests and connections are kept.
 
-    Other changes take effect at the next start; their keys are logged. An invalid configuration changes
-    nothing.
+    Other changes take effect at the next start; their keys are logged. An invalid configuration is ignored
+    and logged.
     """
 
     def __init__(
@@ -39,17 +39,17 @@
         endpoint_watch: EndpointWatch,
         log: Callable[[str], None],
     ) -> None:
-        """Prepare to reload with `read_config`, in a process that was started with `current`."""
+        """Prepare to reload with `read_config`, in a process that was started with the `current` one."""
         self._current = current
         self._read_config = read_config
         self._loop = loop
         self._endpoint_watch = endpoint_watch
         self._log = log
-        # When to give up (monotonic); None while no read has failed since the last one that succeeded.
+        # When retries end, on the monotonic clock; None unless a read has failed and is being retried.
         self._retry_until_ms: float | None = None
 
     def run(self) -> None:
-        """Reload now, or retry shortly where the file can't be read because of a transient error."""
+        """Reload the configuration; retry later if a transient error prevents reading the file."""
         try:
             config = self._read_config()
         except UnreadableFileError as error:
@@ -61,7 +61,7 @@
         self._retry_until_ms = None
         host, port = config.endpoint_log
         changed = self._changed_restart_only_keys(config)
-        ignored = f"; changed, but read only at the start: {', '.join(changed)}" if changed else ""
+        ignored = f"; changes that need a restart: {', '.join(changed)}" if changed else ""
         self._log(f"configuration reloaded: endpoint log at {host}:{port}{ignored}")
         self._endpoint_watch.move_to(config.endpoint_log)
 
@@ -74,7 +74,7 @@
         return list(dict.fromkeys(changed))
 
     def _retry_or_give_up(self, error: UnreadableFileError) -> None:
-        """Read the file again shortly, unless it has been unreadable for too long."""
+        """Schedule a retry after a transient error, or log the error once the time for retries is over."""
         now_ms = monotonic_ms()
         if self._retry_until_ms is None:
             self._retry_until_ms = now_ms + RETRY_MS
--- a/function_router/net/request_parser.py
+++ b/function_router/net/request_parser.py
@@ -1,4 +1,4 @@
-"""Parses and checks the fields of a client's request, as they come in a Thrift message."""
+"""Parses and validates the fields of a client's request from a Thrift message."""
 
 import re
 from collections.abc import Mapping
@@ -8,7 +8,7 @@
 from function_router.net.client_request import Invocation
 from function_router.net.codecs.thrift import Handle, MalformedMessageError
 
-# Names of the request's fields on the wire.
+# Names of a request's fields on the wire.
 FIELD_CLASS = "op"
 FIELD_REQUEST_ID = "call"
 FIELD_TIMEOUT_MS = "ttl"
@@ -17,18 +17,18 @@
 FIELD_FUNCTION = "row"
 FIELD_PROPERTIES = "props"
 
-# Names within the field of the function's properties, which reads `name:value;name:value`.
+# Names of the function's properties in the field FIELD_PROPERTIES, whose format is `name:value;name:value`.
 PROPERTY_MEMORY_MB = "memory_mb"
 PROPERTY_CONCURRENCY = "lanes"
 PROPERTY_START_MS = "load_ms"
 
-# A client's timeout is at most that of its class; the rest allows for rounding.
+# A client's timeout is at most that of its class; the factor allows for rounding.
 TIMEOUT_TOLERANCE = 1.1
-# Requests that one instance may run at once.
+# Maximum number of requests that one instance may run at once.
 MAX_CONCURRENCY = 4_096
-# The value of the property where the client does not give it.
+# Value of PROPERTY_CONCURRENCY if the client does not specify it.
 DEFAULT_CONCURRENCY = "1"
-# The rest of a longer name is cut off.
+# Maximum length of a tenant's name; longer names are truncated.
 MAX_TENANT_CHARS = 128
 
 _HEX_16_DIGITS = re.compile(r"[0-9a-fA-F]{16}\Z")
@@ -37,7 +37,7 @@
 
 
 class InvalidFieldError(MalformedMessageError):
-    """A field of a request that is missing or has a value that can't be passed to a worker."""
+    """A field of a request is missing, or has a value that cannot be passed to a worker."""
 
     def __init__(self, name: str, problem: str) -> None:
         super().__init__(f"{name}: {problem}")
@@ -46,20 +46,21 @@
 def parse_invocation(
     message: Handle, classes: Mapping[str, RequestClass], tenants: frozenset[str] = frozenset()
 ) -> Invocation:
-    """Parse and check the fields of a request.
+    """Parse and validate the fields of a request.
 
     Args:
         message: The client's message.
         classes: The request classes by name.
-        tenants: Names of the tenants that may send requests; where it is empty, any tenant or none may.
+        tenants: Names of the tenants that may send requests; if empty, the field is optional and unchecked.
 
     Raises:
-        InvalidFieldError: Where a field is missing or has a value that can't be passed to a worker.
+        InvalidFieldError: A field is missing, or has a value that cannot be passed to a worker.
     """
     fields = message.fields
     request_class = _parse_class(fields, classes)
     properties = _parse_properties(fields)
-    # The fields are checked in this order: the client is answered with the first one that is invalid.
+    # The order of the arguments is the order of validation: the answer to the client names the first invalid
+    # field.
     return Invocation(
         class_name=request_class.name,
         tenant=_parse_tenant(fields, tenants),
@@ -111,7 +112,7 @@
 
 
 def _parse_properties(fields: dict[str, str]) -> dict[str, str]:
-    """The function's properties by name, including those that this router does not know."""
+    """Return the function's properties by name, including unknown ones."""
     pairs = (pair.partition(":") for pair in fields.get(FIELD_PROPERTIES, "").split(";") if pair)
     return {name: value for name, _, value in pairs}
 
--- a/function_router/net/request_table.py
+++ b/function_router/net/request_table.py
@@ -1,6 +1,6 @@
-"""Every pending request, from a client's message to its one final answer.
+"""The table of pending requests, which tracks each request from its admission to its one final answer.
 
-Nothing here depends on the protocol of clients: see `function_router.net.client_request`.
+It does not depend on the client protocol; see `function_router.net.client_request`.
 """
 
 import itertools
@@ -33,19 +33,19 @@
 from function_router.net.timer_wheel import Timer
 from function_router.net.worker_pool import WorkerPool
 
-# Advice to a client whose request is rejected because the table is full.
+# How long a client is advised to wait before a retry if the full table rejects its request.
 FULL_TABLE_RETRY_AFTER_MS = 250.0
-# The log lines on requests have a rate limit of their own.
+# Log lines about requests have a separate rate limit.
 LOG_SOURCE = "requests"
 
 
 class RequestTable:
-    """Owns every pending request, and makes sure that each gets exactly one final answer.
+    """Owns the pending requests, and gives each exactly one final answer unless it is cancelled.
 
     Args:
         loop: The event loop, for deadline timers and the events for the decision module.
-        pool: Sends attempts and start orders.
-        transport: Limits on pending requests and on what workers and clients are sent.
+        pool: Sends attempts, start orders and health checks.
+        transport: Limits on pending requests and on the data sent to workers and clients.
         classes: The request classes by name.
         revalidate_start_order: See `function_router.net.start_orders.RevalidateStartOrder`.
         telemetry: The log, the counters and the run-time checks.
@@ -75,18 +75,18 @@
             loop, pool, revalidate_start_order, self._requests.add_trace_step
         )
         self._health_checker = HealthChecker(loop, pool, self._requests.add_trace_step, telemetry)
-        self._batch_time_ms = 0.0  # when the batch whose actions are being carried out was handled
-        self._shutdown_at_ms = math.inf  # from then on the process may be killed
+        self._batch_time_ms = 0.0  # time of the batch whose actions are being performed
+        self._shutdown_at_ms = math.inf  # time from which the process may be killed (monotonic)
 
     @property
     def pending(self) -> Mapping[str, PendingRequest]:
         """The pending requests by key, oldest first."""
         return self._requests.by_key
 
-    # --- from clients -------------------------------------------------------------------------
+    # --- calls from clients -------------------------------------------------------------------
 
     def admit(self, client_request: ClientRequest) -> str | Rejected:
-        """Add a request and return its key, or a rejection to answer at once where the table is full."""
+        """Add a request and return its key; if the table is full, return the rejection to answer with."""
         if not self._requests.has_capacity_for(client_request.invocation):
             return Rejected(min(FULL_TABLE_RETRY_AFTER_MS, self._transport.max_retry_after_ms))
         key = f"r{next(self._request_numbers)}"
@@ -112,19 +112,19 @@
         return key
 
     def is_pending(self, client_request_id: bytes) -> bool:
-        """Whether a request with this id is pending and its client still connected."""
+        """Whether a request with this id is pending and its client is still connected."""
         request = self._requests.find_by_client_id(client_request_id)
         return request is not None and request.client_request.is_client_connected()
 
     def cancel_request(self, key: str) -> None:
-        """Drop a request whose client no longer waits: it gets no answer."""
+        """Remove a request whose client no longer waits, without an answer."""
         if request := self._remove(key):
             self._submit_cancelled(request)
 
-    # --- from the process ---------------------------------------------------------------------
+    # --- calls from the process ---------------------------------------------------------------
 
     def drain(self, within_ms: float) -> None:
-        """Limit all deadlines to when the process may be killed, so that each request gets its answer."""
+        """Limit all deadlines to `within_ms` from now, so that each request is answered before a SIGKILL."""
         self._shutdown_at_ms = self._loop.turn_started_ms + within_ms
         for request in self._requests.by_key.values():
             if request.deadline_ms > self._shutdown_at_ms:
@@ -134,14 +134,14 @@
         self._loop.submit(DrainStarted(within_ms))
 
     def begin_batch(self, now_ms: float) -> None:
-        """Note that the decision module is about to handle a batch of events, at this time of its clock."""
+        """Prepare for a batch of events, which the decision module handles at this time of its clock."""
         self._batch_time_ms = now_ms
         self._recently_finished.begin_batch()
 
-    # --- from the decision module -------------------------------------------------------------
+    # --- actions of the decision module -------------------------------------------------------
 
     def send(self, action: SendRequest) -> None:
-        """Send an attempt; where its request has just finished, report it as not sent."""
+        """Send an attempt; report it as not sent if its request has finished recently."""
         key = action.request_id
         pending = self._requests.by_key.get(key)
         request = pending or self._recently_finished.get(key)
@@ -176,12 +176,12 @@
         self._health_checker.send(action)
 
     def note_withheld(self, action: NoteWithheld) -> None:
-        """Note in the trace of a request that a worker did not get it, as it may be draining."""
+        """Record in a request's trace that it was not sent to a worker that may be draining."""
         self._telemetry.count(WITHHELD)
         if request := self._requests.by_key.get(action.request_id):
             request.add_trace_step(f"withheld from {action.worker_id}: not proven ready")
 
-    # --- the end of a request -----------------------------------------------------------------
+    # --- completion of a request --------------------------------------------------------------
 
     def _set_deadline_timer(self, key: str, within_ms: float) -> Timer:
         return self._loop.timers.call_later(within_ms, lambda: self._on_deadline(key))
@@ -189,15 +189,15 @@
     def _on_deadline(self, key: str) -> None:
         """Fail a request that the decision module did not finish by its deadline.
 
-        It normally finishes each one earlier; if a fault stops it from doing so, the client still gets its
-        answer.
+        Normally it finishes each request earlier. The deadline timer makes sure that the client gets an
+        answer even if a fault prevents that.
         """
         request = self._requests.by_key[key]
         self._finish(key, Failed())
         self._submit_cancelled(request)
 
     def _finish(self, key: str, answer: FinalAnswer) -> None:
-        """Answer a request, unless it is no longer pending."""
+        """Answer a request if it is still pending."""
         if request := self._remove(key):
             request.client_request.reply(answer)
             self._telemetry.count(ANSWERS, answer.name)
@@ -205,7 +205,7 @@
             self._log_trace(request, answer)
 
     def _remove(self, key: str) -> PendingRequest | None:
-        """Take a request out of the table; None where it is no longer pending."""
+        """Remove and return a request; None if it is no longer pending."""
         request = self._requests.remove(key)
         if request:
             request.deadline_timer.cancel()
@@ -223,7 +223,7 @@
             self._telemetry.invariants.record(Invariant.ANSWERED_IN_TIME, detail)
 
     def _log_trace(self, request: PendingRequest, answer: FinalAnswer) -> None:
-        """Log the steps of a request that was not served within its class's latency objective."""
+        """Log the trace of a request that was not served within the latency objective of its class."""
         duration_ms = monotonic_ms() - request.admitted_at_ms
         request_class = self._classes.get(request.invocation.class_name)
         if request_class is None:
--- a/function_router/net/router_process.py
+++ b/function_router/net/router_process.py
@@ -1,4 +1,4 @@
-"""One router process: the parts, wired together, and their start, periodic checks and end."""
+"""The router process: creates and connects its components, and starts, checks and stops them."""
 
 import signal
 from collections.abc import Callable
@@ -23,16 +23,16 @@
 
 DEFAULT_LOG_NAME = "function_router"
 
-# Between the log lines with the counters.
+# Interval between log lines with the counters.
 COUNTERS_INTERVAL_MS = 5_000.0
-# Between the checks for idle and silent connections.
+# Interval between checks for connections that are idle or have timed out.
 TIMEOUT_CHECK_INTERVAL_MS = 250.0
 
 # Share of the file descriptors for connections of clients.
 CLIENT_SHARE = 0.4
 # Share of the file descriptors for connections to workers.
 WORKER_SHARE = 0.4
-# Connections of either kind, however few descriptors there are.
+# Minimum for the limit on each kind of connections, even if there are very few file descriptors.
 MIN_CONNECTIONS = 4
 
 
@@ -41,30 +41,30 @@
 
 
 class RouterProcess:
-    """One router, also for embedding in another program: owns the event loop and all parts.
+    """A router, which can also be embedded in another program; owns the event loop and all components.
 
     Args:
-        config: the whole configuration.
-        log: where log lines go; None: to standard error.
-        read_config: reads the configuration again at each SIGHUP; None: SIGHUP changes nothing.
+        config: The configuration.
+        log: Writes the log lines; by default to standard error.
+        read_config: Reads the configuration again on SIGHUP; without it, SIGHUP is ignored.
 
     Raises:
         ConfigurationError: An initial event of the configuration is invalid.
-        OSError: The address for clients can't be bound.
+        OSError: The address for clients cannot be bound.
 
     Attributes:
-        config: the configuration at the start.
-        log: where log lines go.
-        loop: the event loop that all parts share.
-        telemetry: the counters and run-time checks.
-        router: the decision module.
-        pool: the workers and the connections to them.
-        table: the pending requests.
-        endpoint_list_status: whether the endpoint list may be believed.
-        endpoint_watch: follows the endpoint log.
-        listener: the listening socket and the connections of clients.
-        drain: the end of the process, which SIGTERM and SIGINT start.
-        reload: the reload at SIGHUP; None where the configuration can't be read again.
+        config: The configuration at the start.
+        log: Writes the log lines.
+        loop: The event loop that all components share.
+        telemetry: The counters and the run-time checks.
+        router: The decision module.
+        pool: The workers and the connections to them.
+        table: The pending requests.
+        endpoint_list_status: Whether the endpoint list is current.
+        endpoint_watch: Follows the endpoint log.
+        listener: The listening socket and the connections of clients.
+        drain: The graceful shutdown, which SIGTERM and SIGINT start.
+        reload: The reload on SIGHUP; None if the configuration cannot be read again.
     """
 
     def __init__(
@@ -109,13 +109,13 @@
         )
 
     def _create_endpoint_list_status(self) -> EndpointListStatus:
-        """Create the status of the list that the endpoint watch, which is created later, receives."""
+        """Create the status of the endpoint list; the endpoint watch that it refers to is created later."""
         return EndpointListStatus(
             self.router, self.loop, self._start_times, lambda: self.endpoint_watch.last_sequence, self.log
         )
 
     def _create_endpoint_watch(self) -> EndpointWatch:
-        """Create the endpoint watch, with the workers that the initial events of the configuration name."""
+        """Create the endpoint watch, and apply the initial events of the configuration."""
         registry = EndpointRegistry(self.pool, self.loop.submit, self._start_times, self.log)
         status = self.endpoint_list_status
         watch = EndpointWatch(
@@ -141,23 +141,23 @@
         )
 
     def _decide(self, now_ms: float, events: list[Event]) -> None:
-        """Hand a batch of the loop to the decisions, which are created after the loop and refer to it."""
+        """Pass a batch of events to the decision host, which is created after the loop and refers to it."""
         self._decisions.handle(now_ms, events)
 
     @property
     def address(self) -> Address:
-        """The address for clients, with the port that the system chose where 0 was configured."""
+        """The address for clients, with the port that the kernel chose if port 0 is configured."""
         return self.listener.address
 
     def start(self) -> None:
-        """Connect to the endpoint log and report readiness; the caller runs the loop."""
+        """Connect to the endpoint log and report the router as ready; the caller runs the loop."""
         self.endpoint_watch.client.connect()
         self.loop.timers.call_later(TIMEOUT_CHECK_INTERVAL_MS, self._check_timeouts)
         self.loop.timers.call_later(COUNTERS_INTERVAL_MS, self._log_counters)
         self.listener.is_ready = True
 
     def serve(self) -> None:
-        """Serve until SIGTERM or SIGINT, then until all admitted requests are answered."""
+        """Serve until SIGTERM or SIGINT, then drain and close."""
         handlers: dict[int, Callable[[], None]] = {
             signal.SIGTERM: self.drain.start,
             signal.SIGINT: self.drain.start,
@@ -172,7 +172,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close all sockets at once, also with requests pending."""
+        """Close all sockets at once, even with pending requests."""
         self.listener.close()
         self.endpoint_watch.client.close()
         self.pool.close()
@@ -182,7 +182,7 @@
         if self.reload is not None:
             self.reload.run()
 
-    # --- periodic -------------------------------------------------------------------------------
+    # --- periodic tasks -------------------------------------------------------------------------
 
     def _check_timeouts(self) -> None:
         self.endpoint_watch.client.check_timeouts()
--- a/function_router/net/signal_wakeup.py
+++ b/function_router/net/signal_wakeup.py
@@ -1,4 +1,4 @@
-"""Signals as something to read: they wake the event loop, and their handlers run in one of its turns."""
+"""Delivers signals through a socket, which wakes the event loop; their handlers run in one of its turns."""
 
 import signal
 import socket
@@ -6,22 +6,22 @@
 
 from function_router.net.transient_errors import is_transient
 
-# Bytes to read at once; each signal writes one.
+# Maximum number of signals read at once; each signal is one byte.
 MAX_SIGNALS_PER_READ = 64
 
 
 class SignalWakeup:
-    """Receives signals on a socket pair, which it owns, and calls their handlers once that is read.
+    """Receives signals on a socket pair that it owns, and calls their handlers when the pair is read.
 
-    Python writes the number of each signal to the pair. A signal that was blocked and arrived during start-up
-    is received as soon as it is unblocked here.
+    Python writes the number of each signal to the socket pair. Signals that are blocked during startup are
+    unblocked here, and are received then if they are pending.
 
     Attributes:
-        sock: Readable while signals wait to be handled.
+        sock: The read end, which is readable while signals wait to be handled.
     """
 
     def __init__(self, handlers: Mapping[int, Callable[[], None]]) -> None:
-        """Receive signals from now on; the handlers are given by signal number."""
+        """Start to receive signals; `handlers` are given by signal number."""
         self._handlers = handlers
         self.sock, self._write_end = socket.socketpair()
         self.sock.setblocking(False)
@@ -32,14 +32,14 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, handlers)
 
     def on_readable(self, _mask: int) -> None:
-        """Call the handlers of the signals that have arrived, in their order."""
+        """Call the handlers of the signals that have arrived, in order of arrival."""
         for number in self._read_signal_numbers():
             handler = self._handlers.get(number)
             if handler:
                 handler()
 
     def _read_signal_numbers(self) -> bytes:
-        """The numbers of the signals that have arrived; none where the read fails for a moment."""
+        """Return the numbers of the signals that have arrived; none after a transient error."""
         try:
             return self.sock.recv(MAX_SIGNALS_PER_READ)
         except OSError as error:
@@ -48,7 +48,7 @@
             return b""
 
     def close(self) -> None:
-        """Receive no more signals."""
+        """Stop receiving signals."""
         signal.set_wakeup_fd(-1)
         self.sock.close()
         self._write_end.close()
--- a/function_router/net/socket_writer.py
+++ b/function_router/net/socket_writer.py
@@ -9,12 +9,12 @@
 
 
 class SocketWriter:
-    """Writes to one socket, which the connection that uses this owns.
+    """Writes to one socket, which is owned by the connection.
 
     Attributes:
-        queue: What has yet to be written.
-        is_blocked: Whether the last write was partial, as the socket's buffer was full.
-        last_write_ms: When the last write began, on the monotonic clock.
+        queue: The bytes that are not written yet.
+        is_blocked: Whether the last write was partial because the socket's buffer was full.
+        last_write_ms: When the last write started, on the monotonic clock.
     """
 
     __slots__ = ("_sock", "is_blocked", "last_write_ms", "queue")
@@ -26,10 +26,10 @@
         self._sock = sock
 
     def flush(self) -> CloseReason | None:
-        """Write as much as the socket takes, in one system call.
+        """Write as much as the socket accepts, in one system call.
 
         Returns:
-            The reason to close the connection where it is broken.
+            The reason to close the connection if it is broken; otherwise None.
         """
         self.last_write_ms = monotonic_ms()
         try:
--- a/function_router/net/sockets.py
+++ b/function_router/net/sockets.py
@@ -1,4 +1,4 @@
-"""Operations on TCP sockets that need no event loop: connecting, and peeking at what is unread."""
+"""Operations on TCP sockets that need no event loop: connecting, and peeking at unread data."""
 
 import contextlib
 import errno
@@ -11,35 +11,35 @@
 
 
 class PeekResult(Enum):
-    """What a peek at a socket finds."""
+    """The result of a peek at a socket."""
 
     NOTHING = auto()
     DATA = auto()
-    END = auto()  # the peer has closed, or the connection is broken
-    UNKNOWN = auto()  # the peek failed for a moment
+    END = auto()  # the peer has closed the connection, or it is broken
+    UNKNOWN = auto()  # the peek failed with a transient error
 
 
 MAY_HOLD_DATA = (PeekResult.DATA, PeekResult.UNKNOWN)
-"""The results of a peek after which something may be unread."""
+"""The results of a peek after which data may be unread."""
 
 
 def address_family(address: Address) -> socket.AddressFamily:
-    """The address family of a numeric address."""
+    """Return the address family of a numeric address."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
 def configure_socket(sock: socket.socket) -> None:
-    """Make a socket non-blocking, and have it send small messages at once where the system allows that."""
+    """Make a socket non-blocking, and disable Nagle's algorithm where the system allows it."""
     sock.setblocking(False)
-    with contextlib.suppress(OSError):  # with Nagle's algorithm, small messages only wait for an ACK
+    with contextlib.suppress(OSError):  # without TCP_NODELAY, small messages are only delayed until an ACK
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def begin_connect(address: Address) -> socket.socket:
-    """Create a socket that is connecting, or connected already.
+    """Create a socket and start to connect it; it may be connected already.
 
     Raises:
-        OSError: Where connecting fails at once.
+        OSError: Connecting failed at once.
     """
     sock = socket.socket(address_family(address), socket.SOCK_STREAM)
     try:
@@ -48,7 +48,7 @@
     except OSError:
         sock.close()
         raise
-    # A connect that a signal interrupts goes on in the background.
+    # A connect that is interrupted by a signal continues in the background.
     if error_number not in (0, errno.EINPROGRESS, errno.EINTR):
         sock.close()
         raise OSError(error_number, "connect")
@@ -56,13 +56,13 @@
 
 
 def connect_error(sock: socket.socket) -> OSError | None:
-    """Why connecting has failed; None where the socket, which has become writable, is connected."""
+    """Return the error of a failed connect; None if the socket, which has become writable, is connected."""
     error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     return OSError(error_number, "connect") if error_number else None
 
 
 def peek(sock: socket.socket) -> PeekResult:
-    """What would be read next from a non-blocking socket; it stays unread."""
+    """Return what the next read from a non-blocking socket would find, without reading it."""
     try:
         return PeekResult.DATA if sock.recv(1, socket.MSG_PEEK) else PeekResult.END
     except BlockingIOError:
@@ -72,7 +72,7 @@
 
 
 def has_peer_closed(sock: socket.socket) -> bool:
-    """Whether the peer has closed, even if bytes that it sent before are still unread."""
+    """Whether the peer has closed the connection, even if bytes that it sent before are unread."""
     unread = peek(sock)
     if unread is not PeekResult.DATA:
         return unread is PeekResult.END
--- a/function_router/net/telemetry.py
+++ b/function_router/net/telemetry.py
@@ -1,32 +1,32 @@
-"""What a router reports about itself: the log, counters that are logged periodically, and run-time checks."""
+"""Telemetry of a router: the log, counters that are logged periodically, and run-time checks."""
 
 from collections import Counter
 
 from function_router.net.invariants import InvariantMonitor
 from function_router.net.log import RateLimitedLog
 
-# Names of the counters, in the log too. Those with a detail are counted for each detail.
+# Names of the counters, as they are logged. A counter with a detail is counted separately for each detail.
 ATTEMPTS = "attempts"
 START_ORDERS = "start orders"
 PROBES = "probes"
 HEALTH_CHECKS = "health checks"  # detail: what the worker answered
-WITHHELD = "withheld"  # requests from workers that are not proven to be ready, once for each of both
-WORKER_CONNECTS = "connects"  # connections to workers that were begun
-WORKER_CONNECTIONS_CLOSED = "closed"  # connections to workers; detail: the close reason
-NOT_SENT = "not sent"  # exchanges; detail: the reason not to send
+WITHHELD = "withheld"  # requests withheld from workers not proven ready, once per request and worker
+WORKER_CONNECTS = "connects"  # started connections to workers
+WORKER_CONNECTIONS_CLOSED = "closed"  # closed connections to workers; detail: the close reason
+NOT_SENT = "not sent"  # exchanges that were not sent; detail: the reason
 CLIENTS_ACCEPTED = "clients accepted"
-CLIENTS_CLOSED = "clients closed"  # connections of clients; detail: the close reason
-ANSWERS = "answers"  # final ones; detail: their kind
-VIOLATIONS = "invariants violated"  # since the start
+CLIENTS_CLOSED = "clients closed"  # closed connections of clients; detail: the close reason
+ANSWERS = "answers"  # final answers; detail: the kind of answer
+VIOLATIONS = "invariants violated"  # violations since the start
 
 
 class Telemetry:
-    """What all parts of the router report to.
+    """Collects the log lines, counters and run-time checks of all components of the router.
 
     Attributes:
-        log: where log lines go.
-        counters: the counters since they were last logged.
-        invariants: the run-time checks, which write to the same log.
+        log: Writes the log lines.
+        counters: The counters since they were last logged.
+        invariants: The run-time checks, which write to the same log.
     """
 
     __slots__ = ("counters", "invariants", "log")
@@ -41,7 +41,7 @@
         self.counters[f"{name} {detail}" if detail else name] += 1
 
     def take_counters(self) -> str:
-        """Return the counters as one line and set them back to 0; empty where nothing was counted."""
+        """Return the counters as one line and reset them; the line is empty if nothing was counted."""
         counters = dict(self.counters)
         self.counters.clear()
         if violations := self.invariants.violations.total():
--- a/function_router/net/write_queue.py
+++ b/function_router/net/write_queue.py
@@ -1,26 +1,26 @@
-"""The bytes that a connection has yet to write, in order."""
+"""The queue of bytes that a connection has not written yet."""
 
 from collections import deque
 from itertools import islice
 
 from msgspec import Struct
 
-# In one system call; well below the kernel's IOV_MAX of 1024.
+# Maximum number of writes in one system call; well below the kernel's IOV_MAX of 1024.
 MAX_WRITES_PER_CALL = 64
 
 
 class PendingWrite(Struct, eq=False):
-    """Bytes to be written, and how many of them have been."""
+    """Bytes to be written, and the number of bytes that are written already."""
 
     data: bytes
     written: int = 0
 
 
 class WriteQueue:
-    """Writes in the order in which they were queued; the first one may be written in part.
+    """Writes in the order in which they were queued; the first one may be partially written.
 
     Attributes:
-        pending_bytes: How many bytes are queued and not written yet.
+        pending_bytes: Number of bytes that are queued and not written yet.
     """
 
     __slots__ = ("_writes", "pending_bytes")
@@ -34,12 +34,12 @@
         return bool(self._writes)
 
     def append(self, write: PendingWrite) -> None:
-        """Queue a write of which nothing has been written."""
+        """Queue a write of which no byte has been written."""
         self._writes.append(write)
         self.pending_bytes += len(write.data)
 
     def cancel(self, write: PendingWrite) -> bool:
-        """Remove a write from the queue; False where a part of it has been written already."""
+        """Remove a write from the queue; return False if any of it has been written already."""
         if write.written or write not in self._writes:
             return False
         self._writes.remove(write)
@@ -47,7 +47,7 @@
         return True
 
     def replace(self, write: PendingWrite, data: bytes) -> bool:
-        """Write other bytes in place of a write; False where a part of it has been written already."""
+        """Replace the bytes of a write; return False if any of it has been written already."""
         if write.written or write not in self._writes:
             return False
         self.pending_bytes += len(data) - len(write.data)
@@ -55,12 +55,12 @@
         return True
 
     def next_buffers(self) -> list[memoryview]:
-        """What the next system call is to write, without a copy of it."""
+        """Return the buffers for the next system call, without copying them."""
         first = islice(self._writes, MAX_WRITES_PER_CALL)
         return [memoryview(write.data)[write.written :] for write in first]
 
     def advance(self, count: int) -> None:
-        """Count so many bytes of the next buffers as written, and remove the writes that are complete."""
+        """Count `count` bytes of the next buffers as written, and remove completed writes."""
         self.pending_bytes -= count
         for _ in range(min(len(self._writes), MAX_WRITES_PER_CALL)):
             write = self._writes[0]
--- a/tests/net/test_acceptor.py
+++ b/tests/net/test_acceptor.py
@@ -98,7 +98,7 @@
     connect(1)
     run_until(lambda: len(owner.served) == 2)
 
-    assert [line.startswith("accepted connection: ") for line in log_lines] == [True, True]
+    assert [line.startswith("cannot serve accepted connection: ") for line in log_lines] == [True, True]
     assert set(owner.reserved) == {0}
 
 
--- a/tests/net/test_decision_host.py
+++ b/tests/net/test_decision_host.py
@@ -100,7 +100,7 @@
         process.loop.run_once(0)
 
     assert TimerFired(RECOVERY_TIMER_TOKEN) in events_of(handle)
-    assert any("unhandled exception in the decisions" in line for line in harness.log_lines)
+    assert any("unhandled exception in the decision module" in line for line in harness.log_lines)
 
 
 def test_actions_decided_before_an_exception_are_carried_out(harness, worker, client):
@@ -118,4 +118,4 @@
     process.loop.submit(TimerFired(1))  # in the same batch, behind the request
     harness.run_until(lambda: len(worker.requests) == 2, "the second request runs")
 
-    assert any("the decisions" in line for line in harness.log_lines)
+    assert any("the decision module" in line for line in harness.log_lines)
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -54,7 +54,7 @@
     host, port = config.endpoint_log
     assert configuration_lines(harness) == [
         f"configuration reloaded: endpoint log at {host}:{port}; "
-        "changed, but read only at the start: name, limits.memory_mb, settings"
+        "changes that need a restart: name, limits.memory_mb, settings"
     ]
     assert harness.router_process.config is config
 
