--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the network tests: a router that queues, and single connections on an event loop."""
+"""Fixtures of the network tests: a router whose requests stay pending, and connections on an event loop."""
 
 import socket
 import time
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def queueing_harness(start_router):
-    """A router whose one worker never reports an instance, so that requests stay pending."""
+    """A router whose only worker never reports an instance, so that requests stay pending."""
     return start_router(FakeWorker(instances=None))
 
 
@@ -27,13 +27,13 @@
 
 @pytest.fixture
 def results():
-    """The results of the exchanges that the test sends."""
+    """The results of the exchanges that a test sends."""
     return []
 
 
 @pytest.fixture
 def log_lines():
-    """What the event loop has logged."""
+    """The lines that the event loop has logged."""
     return []
 
 
@@ -47,7 +47,7 @@
 
 @pytest.fixture
 def run_until(loop):
-    """Run turns of the loop until a condition holds; the peers receive after each turn."""
+    """Run turns of the event loop until a condition holds; the given peers receive after each turn."""
 
     def run(condition, *peers):
         give_up_at = time.monotonic() + PATIENCE_S
@@ -62,7 +62,7 @@
 
 @pytest.fixture
 def listener(cleanups):
-    """A socket that listens on loopback, as that for clients does."""
+    """A listening socket on loopback, configured like the one for clients."""
     listener = socket.socket()
     cleanups.callback(listener.close)
     enable_receive_timestamps(listener)
@@ -73,7 +73,7 @@
 
 @pytest.fixture
 def accept_socket(listener, cleanups):
-    """Make accepted sockets, each with its peer."""
+    """Create accepted sockets, each with its peer."""
 
     def make():
         peer = Peer(socket.create_connection(listener.getsockname()))
@@ -88,7 +88,7 @@
 
 @pytest.fixture
 def accept(loop, accept_socket):
-    """Make accepted connections, each with its peer; `wrap` replaces the socket."""
+    """Create accepted connections, each with its peer; `wrap` may replace the socket."""
 
     def make(handler, wrap=lambda sock: sock):
         sock, peer = accept_socket()
--- a/tests/net/test_acceptor.py
+++ b/tests/net/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Tests of `acceptor`: how many connections are accepted, and what happens where none can be served."""
+"""Tests of `acceptor`: the number of accepted connections, and pauses while no connection can be served."""
 
 import errno
 import socket
@@ -14,7 +14,7 @@
 
 
 class FakeOwner:
-    """Serves accepted sockets, but for the first `failures` times; keeps those that it has served."""
+    """Records the sockets that it serves; the first `failures` calls fail."""
 
     def __init__(self):
         self.has_capacity = True
@@ -23,12 +23,12 @@
         self.reserved = []
 
     def ensure_capacity(self, reserved):
-        """Whether there is capacity, as the test says."""
+        """Record the call; return whether the test allows another connection."""
         self.reserved.append(reserved)
         return self.has_capacity
 
     def serve(self, accepted):
-        """Keep the socket, or fail as epoll does without memory."""
+        """Record the socket, or fail as epoll does for lack of memory."""
         if self.failures:
             self.failures -= 1
             raise OSError(errno.ENOMEM, "epoll_ctl")
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 def connect(acceptor, cleanups):
-    """Connect clients, which the acceptor has not accepted yet."""
+    """Connect clients that the acceptor has not accepted yet."""
 
     def connect_clients(count):
         for _ in range(count):
--- a/tests/net/test_attempt_report.py
+++ b/tests/net/test_attempt_report.py
@@ -1,4 +1,4 @@
-"""Tests of `attempt_report`: what the decision module and the log are given of an attempt's result."""
+"""Tests of `attempt_report`: the conversion of an attempt's result for the decision module and the log."""
 
 import pytest
 
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Tests of one client connection: its end, its limits, its timeouts, and reads after a stall."""
+"""Tests of one client connection: its close, its limits, its timeouts, and reads after a stall."""
 
 import gc
 import socket
@@ -26,22 +26,22 @@
 
 WITHOUT_CANCEL = {"bounds": {**SETTINGS["bounds"], "cancel": False}}
 
-# A client has its answer or a close within this time of connecting.
+# Each client has to be answered or disconnected within this time of connecting.
 ANSWER_LIMIT_MS = 3000.0
 
 
 def connect_accepted_client(harness):
-    """A new client and the router's side of its connection."""
+    """Connect a new client; return it and the router's side of its connection."""
     connections = harness.router_process.listener.connections
     known_connections = set(connections)
     client = harness.connect_client()
-    harness.run_until(lambda: len(connections) > len(known_connections), "it is accepted")
+    harness.run_until(lambda: len(connections) > len(known_connections), "the client is accepted")
     [served] = set(connections) - known_connections
     return client, served
 
 
 def start_with_warm_instances(start_router, **options):
-    """A router that knows a warm instance, so that it sends a request in the turn that reads it."""
+    """Start a router that knows a warm instance, so that it sends a request in the turn that reads it."""
     worker = FakeWorker(instances=8)
     harness = start_router(worker, **options)
     client = harness.run_request(worker)
@@ -51,18 +51,18 @@
 
 
 def read_in_one_turn(harness, served):
-    """Read what has arrived on the connection and carry out what follows from it."""
+    """Read the data that has arrived on a connection, and run the rest of a turn."""
     assert wait_readable(served.connection._sock)
     served.connection._on_ready(READ)
     harness.router_process.loop._run_turn([], harness.router_process.loop.clock.now_ms())
 
 
 def is_overdue(served, now_ms):
-    """Whether the message for which the connection waits has taken too long by then."""
+    """Whether the next message of the connection is overdue at `now_ms`."""
     return served.messages.is_overdue(now_ms, served.connection.last_received_ms)
 
 
-# --- the end of a connection --------------------------------------------------------------------
+# --- close of a connection ----------------------------------------------------------------------
 
 
 def test_closed_connection_is_freed_at_once_without_a_collection(harness, cleanups):
@@ -138,7 +138,7 @@
     client, served = connect_accepted_client(queueing_harness)
     seqid = client.send_request()
     queueing_harness.run_until(lambda: queueing_harness.table.pending, "the request is admitted")
-    client.receive = lambda: None  # it reads no more
+    client.receive = lambda: None  # the client stops reading
 
     with mock.patch.object(client_connection, "MAX_UNWRITTEN_BYTES", 16 * 1024 * 1024):
         served.connection.write(b"x" * 12_000_000)
@@ -162,13 +162,13 @@
     partial.sock.sendall(encode_request(1, {})[:9])
     served.request_status(1)
     partial_after_message.request_status(1)
-    harness.run_until(lambda: served.answers and partial_after_message.answers, "two are answered")
+    harness.run_until(lambda: served.answers and partial_after_message.answers, "two clients are answered")
     partial_after_message.sock.sendall(encode_request(2, {})[:9])
 
     with mock.patch.object(client_messages, "MESSAGE_TIMEOUT_MS", 0.0):
         harness.run_until(
             lambda: all(client.is_closed for client in (silent, partial, partial_after_message)),
-            "three are closed",
+            "three clients are disconnected",
         )
 
     assert not served.is_closed
@@ -221,7 +221,7 @@
     )
 
 
-# --- a process that has stalled -------------------------------------------------------------------
+# --- stalls of the process ------------------------------------------------------------------------
 
 
 def test_requests_read_together_after_a_stall_have_no_more_time_than_their_clients_left(queueing_harness):
@@ -257,7 +257,9 @@
 
     with mock.patch.object(harness.router_process.router, "handle", handle_slowly):
         client.send_request(call="cc" * 8)
-        harness.run_until(lambda: arrivals() == 2 and not harness.table.pending, "it came and is over")
+        harness.run_until(
+            lambda: arrivals() == 2 and not harness.table.pending, "the request arrives and is cancelled"
+        )
     harness.round_trip(harness.connect_client())
 
     assert [request.frame.exchange_id for request in worker.requests[1:]] == []
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -1,4 +1,4 @@
-"""Tests of accepting clients, of the limit on their connections and of their idle timeout."""
+"""Tests of `client_listener`: accepting clients, the limit on their connections, and the idle timeout."""
 
 import errno
 from unittest import mock
@@ -113,6 +113,7 @@
     with mock.patch.object(connection.Connection, "peek", side_effect=peek_just_before_the_request):
         assert served.close_unless_data_arrived()
 
-    # An unread request makes the close a reset, by which its client knows that it was not taken.
+    # As the request is unread, the close resets the connection, which tells the client that its request was
+    # not accepted.
     with pytest.raises(ConnectionResetError):
         client.sock.recv(1)
--- a/tests/net/test_client_messages.py
+++ b/tests/net/test_client_messages.py
@@ -1,4 +1,4 @@
-"""Tests of `client_messages`: the messages in a client's bytes, and when the next one is overdue."""
+"""Tests of `client_messages`: splitting a client's bytes into messages, and when the next one is overdue."""
 
 import pytest
 from helpers.client_messages import REQUEST_FIELDS, encode_request
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def messages(monkeypatch):
-    """The messages of a client that connects and sends at one moment."""
+    """The messages of a client on a stopped clock, so that it connects and sends at the same time."""
     monkeypatch.setattr(client_messages, "monotonic_ms", lambda: CONNECTED_AT_MS)
     return ClientMessages()
 
--- a/tests/net/test_client_session.py
+++ b/tests/net/test_client_session.py
@@ -1,4 +1,4 @@
-"""Tests of the conversation with one client: messages that can't be admitted, and what they cost."""
+"""Tests of `client_session`: messages that cannot be admitted, and their effect on the connection."""
 
 from unittest import mock
 
@@ -19,7 +19,7 @@
     for seqid, concurrency in enumerate(("0", "-1", "0.5", "5000", "x", ""), 8):
         client.send_request(props=f"memory_mb:512;lanes:{concurrency}", seqid=seqid)
     client.send_request(seqid=5)
-    harness.run_until(lambda: len(client.answers) >= 12 and harness.table.pending, "all are read")
+    harness.run_until(lambda: len(client.answers) >= 12 and harness.table.pending, "all messages are handled")
 
     assert client.answer_kinds() == dict.fromkeys((1, 2, 3, 4, *range(6, 14)), "exception")
     assert len(harness.table.pending) == 1
@@ -31,7 +31,9 @@
 
     valid.send_request()
     malformed.sock.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-    harness.run_until(lambda: malformed.is_closed and worker.requests, "one ends and one is sent")
+    harness.run_until(
+        lambda: malformed.is_closed and worker.requests, "one connection is closed and one request is sent"
+    )
 
     assert not valid.is_closed
 
@@ -42,7 +44,7 @@
 
     with mock.patch.object(client_session.ClientSession, "_on_handle", side_effect=KeyError("boom")):
         failing.send_request()
-        harness.run_until(lambda: failing.is_closed, "the connection ends")
+        harness.run_until(lambda: failing.is_closed, "the connection is closed")
     other.send_request()
     harness.run_until(lambda: worker.requests, "the other client's request is sent")
 
@@ -54,7 +56,7 @@
 
     for _ in range(33):
         client.send_request()
-    queueing_harness.run_until(lambda: client.answers, "one is answered")
+    queueing_harness.run_until(lambda: client.answers, "a request is answered")
 
     assert client.answer_kinds() == {33: "exception"}
     assert len(queueing_harness.table.pending) == 32
@@ -65,7 +67,7 @@
 
     client.send_request(seqid=5)
     client.send_request(seqid=5)
-    queueing_harness.run_until(lambda: client.is_closed, "the connection ends")
+    queueing_harness.run_until(lambda: client.is_closed, "the connection is closed")
 
     assert (client.answer_kinds(), queueing_harness.table.pending) == ({5: "broken"}, {})
 
@@ -79,6 +81,6 @@
     client.sock.setblocking(True)
     client.sock.sendall(b"GET / HTTP/1.1\r\n" + b"x" * 300_000)
     client.sock.setblocking(False)
-    harness.run_until(lambda: client.is_closed, "the connection ends")
+    harness.run_until(lambda: client.is_closed, "the connection is closed")
 
     assert client.answer_kinds() == {1: "answer", 2: "exception", 3: "broken"}
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -6,14 +6,14 @@
 
 
 class FakeSystemClocks:
-    """Both clocks of the system, which the test advances or sets."""
+    """The monotonic clock and the wall clock of the system, which the test advances or sets."""
 
     def __init__(self):
         self.monotonic_ms = 1000.0
         self.unix_ms = 1_700_000_000_000.0
 
     def advance(self, elapsed_ms):
-        """Let time pass."""
+        """Advance both clocks."""
         self.monotonic_ms += elapsed_ms
         self.unix_ms += elapsed_ms
 
--- a/tests/net/test_connection.py
+++ b/tests/net/test_connection.py
@@ -1,4 +1,4 @@
-"""Tests of `connection`, on loopback."""
+"""Tests of `connection`, over loopback."""
 
 import contextlib
 import errno
@@ -20,10 +20,10 @@
 
 
 class FailingHandler(RecordingHandler):
-    """Raises an exception at the first bytes."""
+    """Raises an exception when it receives bytes."""
 
     def on_data(self, data):
-        """Bytes were received."""
+        """Raise an exception."""
         raise KeyError(data)
 
 
@@ -214,7 +214,7 @@
     connection.write(b"after")
     loop.run_once(0)
 
-    with pytest.raises(ConnectionResetError):  # what it sent is unread
+    with pytest.raises(ConnectionResetError):  # because the bytes that the peer sent are unread
         peer.receive()
     assert handler.close_reasons == [CloseReason.IDLE]
     assert (handler.data, bytes(peer.data)) == (b"", b"")
@@ -225,7 +225,7 @@
 
 
 def connect_interrupted(sock, address):
-    """Connect as connect(2) does where a signal comes in between: the connection comes up all the same."""
+    """Connect like an interrupted connect(2): it fails with EINTR but continues in the background."""
     with contextlib.suppress(BlockingIOError):
         sock.connect(address)
     return errno.EINTR
--- a/tests/net/test_decision_host.py
+++ b/tests/net/test_decision_host.py
@@ -1,4 +1,4 @@
-"""Tests of `decision_host`."""
+"""Tests of `decision_host`: performing the actions of the decision module, and its exceptions."""
 
 from typing import get_args
 from unittest import mock
@@ -13,7 +13,7 @@
 from function_router.net.request_table import RequestTable
 from function_router.net.timer_wheel import TimerWheel
 
-# One of each action that the request table carries out, and the method that does so.
+# One of each action that the request table performs, and the method that performs it.
 TABLE_ACTIONS = [
     (actions.SendRequest("r1", 11), "send"),
     (actions.CancelAttempt("r1", 0), "cancel_attempt"),
@@ -26,7 +26,7 @@
 
 
 def handle_with_actions(harness, *decided):
-    """Run a turn of the event loop in which the decisions return these actions."""
+    """Run a turn of the event loop in which the decision module returns these actions."""
     process = harness.router_process
     with mock.patch.object(process.router, "handle", return_value=list(decided)):
         process.loop.submit(TimerFired(1))
@@ -34,7 +34,7 @@
 
 
 def events_of(handle):
-    """All events that a stand-in for `Router.handle` was called with."""
+    """Return all events with which a mock of `Router.handle` was called."""
     return [event for call in handle.call_args_list for event in call.args[1]]
 
 
@@ -108,14 +108,14 @@
     client.send_request()
     harness.run_until(lambda: worker.requests, "the first request runs")
     worker.answer(worker.requests[0])
-    harness.run_until(lambda: 1 in client.answer_kinds(), "it is answered")
+    harness.run_until(lambda: 1 in client.answer_kinds(), "the first request is answered")
     process.router._handlers[TimerFired] = mock.Mock(side_effect=KeyError)
 
     client.send_request(call="ee" * 8)
     [served] = process.listener.connections
     assert wait_readable(served.connection._sock)
     served.connection._on_ready(READ)
-    process.loop.submit(TimerFired(1))  # in the same batch, behind the request
+    process.loop.submit(TimerFired(1))  # in the same batch as the request, and after it
     harness.run_until(lambda: len(worker.requests) == 2, "the second request runs")
 
     assert any("the decision module" in line for line in harness.log_lines)
--- a/tests/net/test_drain.py
+++ b/tests/net/test_drain.py
@@ -1,4 +1,4 @@
-"""Tests of `drain`: requests that arrive in time are served, however late they are read."""
+"""Tests of `drain`: requests that arrive in time are served even if they are read late."""
 
 from unittest import mock
 
@@ -15,7 +15,7 @@
 
 
 def drain_past_late_arrivals(harness):
-    """Drain the router, and make the check that follows the time for late arrivals."""
+    """Start to drain, and run the check that follows the end of LATE_ARRIVALS_MS."""
     process_drain = harness.router_process.drain
     process_drain.start()
     process_drain._started_ms -= drain.LATE_ARRIVALS_MS + 1
@@ -23,7 +23,7 @@
 
 
 def expect_answered(harness, worker, client):
-    """The request reaches the worker, its answer the client, and the loop stops only then."""
+    """Assert that the request runs and is answered, and that the loop stops only after that."""
     loop = harness.router_process.loop
     assert loop.is_running
     harness.run_until(lambda: worker.requests, "the request runs")
@@ -61,7 +61,7 @@
 def test_partially_read_request_is_served_in_a_drain(harness, worker, client):
     [served] = harness.router_process.listener.connections
     client.send_request(withhold=9)
-    harness.run_until(lambda: served.messages.has_partial_message, "half of the request is read")
+    harness.run_until(lambda: served.messages.has_partial_message, "the first part of the request is read")
 
     drain_past_late_arrivals(harness)
     client.send_withheld()
@@ -91,7 +91,7 @@
     client.send_request("view", seqid=3, row="ff" * 8)
     harness.run_until(lambda: len(client.answer_kinds()) == 4, "all requests are answered")
 
-    assert clock.monotonic_ms() - started_ms < 4000.0  # their clients would wait for twice that
+    assert clock.monotonic_ms() - started_ms < 4000.0  # half of the time that the clients would wait
     kinds = {seqid: kind for seqid, kind in client.answer_kinds().items() if seqid < 10}
     assert kinds == {1: "throttled", 2: "broken", 3: "throttled"}
     harness.run_until(lambda: not harness.router_process.loop.is_running, "the loop stops")
@@ -109,7 +109,7 @@
         mock.patch.object(harness.router_process.router, "handle", side_effect=KeyError),
     ):
         harness.router_process.drain.start()
-        harness.run_until(lambda: 1 in client.answer_kinds(), "it is answered")
+        harness.run_until(lambda: 1 in client.answer_kinds(), "the request is answered")
 
     assert clock.monotonic_ms() - started_ms < 2000.0
 
@@ -131,7 +131,7 @@
 
     drain_past_late_arrivals(harness)
     reload.run()
-    harness.run_until(moved.requests, "the new log has a request")
+    harness.run_until(moved.requests, "the new endpoint log receives a request")
     moved.send_line(endpoint_event(2, worker.record("terminating"), other.record("terminating")))
     harness.run_until(lambda: process.endpoint_watch.last_sequence == 2, "the event is applied")
     [key] = harness.table.pending
--- a/tests/net/test_event_loop.py
+++ b/tests/net/test_event_loop.py
@@ -1,4 +1,4 @@
-"""Tests of `event_loop`."""
+"""Tests of `event_loop`: batches, flushes, exceptions, signals, and the times of polls."""
 
 import errno
 import os
@@ -15,23 +15,23 @@
 
 
 class BoomError(Exception):
-    """What a failing callback raises."""
+    """The exception of a failing callback."""
 
 
 class Recorder:
-    """What a loop handed over and logged."""
+    """Records the batches and the log lines of an event loop."""
 
     def __init__(self):
         self.batches = []
         self.log_lines = []
 
     def decide(self, _now_ms, events):
-        """Take a batch, as the decision module does."""
+        """Record a batch, in place of the decision module."""
         self.batches.append(events)
 
 
 class FakeFlushable:
-    """Counts how often it is flushed."""
+    """Counts its flushes and delays."""
 
     def __init__(self):
         self.flushes = 0
@@ -69,7 +69,7 @@
 
 @pytest.fixture
 def readable_socket(cleanups):
-    """Make sockets with a byte to read."""
+    """Create sockets with one byte to read."""
 
     def make():
         read_end, write_end = socket.socketpair()
@@ -237,7 +237,7 @@
     select = loop._selector.select
 
     def interrupted(timeout):
-        """As after SIGCONT: EINTR, the time to wait is over, and no socket was examined."""
+        """Return like a wait that SIGCONT interrupts: the timeout is over, and no socket was examined."""
         return [] if timeout else select(timeout)
 
     with mock.patch.object(loop._selector, "select", interrupted):
@@ -251,7 +251,7 @@
     polled_at_ms = []
 
     def stopped_on_return(timeout):
-        """As where SIGSTOP comes while epoll_wait returns: what it found is old by the time it is seen."""
+        """Return late, like an epoll_wait that SIGSTOP stops on its return: the result is outdated."""
         polled_at_ms.append(clock.monotonic_ms())
         ready = select(timeout)
         time.sleep(0.03)
@@ -265,12 +265,12 @@
 
 
 class FailingOnceSocket(socket.socket):
-    """A socket whose first read finds no memory."""
+    """A socket whose first read fails for lack of memory."""
 
     has_failed = False
 
     def recv(self, *arguments):
-        """Read, at the second try."""
+        """Fail on the first call; read after that."""
         if not self.has_failed:
             self.has_failed = True
             raise OSError(errno.ENOMEM, "recv")
--- a/tests/net/test_event_ordering_requests.py
+++ b/tests/net/test_event_ordering_requests.py
@@ -1,6 +1,7 @@
-"""Tests of `function_router.net.request_table`: attempts that must not start, and ids that come again.
+"""Tests of `function_router.net.request_table`: attempts that must not start, and reused request ids.
 
-In most of them a client's close, a new connection or an answer is seen earlier than something sent before it.
+In most tests, the router handles a client's close, a new connection or an answer before something that was
+sent earlier.
 """
 
 import math
@@ -30,7 +31,7 @@
 }
 REPEATED_ID = "ab" * 8
 
-UNKNOWN_CODE = 99  # of a worker's answer: the request may have run
+UNKNOWN_CODE = 99  # code of a worker's answer after which the request may have run
 
 with_both_cancel_settings = pytest.mark.parametrize(
     "settings", [CANCEL_FORBIDDEN, CANCEL_ALLOWED], ids=["cancel_forbidden", "cancel_allowed"]
@@ -38,25 +39,25 @@
 
 
 def close_client_unread(client, client_connection):
-    """Close a client so that its end has arrived at the router, which has not read it yet."""
+    """Close a client, and wait until the close has arrived at the router, which has not read it yet."""
     client.close()
     assert wait_readable(client_connection.connection._sock)
 
 
 def send_pending(harness, worker_id=UNLISTED_WORKER_ID):
-    """Send the one pending request to an unlisted worker; return the connections to it."""
+    """Send the only pending request to an unlisted worker; return the connections to that worker."""
     [key] = harness.table.pending
     harness.table.send(SendRequest(key, worker_id))
     return harness.connections_to(worker_id)
 
 
-# --- clients that have gone: no attempt starts for them, wherever their request waits ---------------
+# --- no attempt starts for a client that has disconnected, wherever its request is queued -----------
 
 
 def admit_request(start_router, settings, *, connect_worker=False):
-    """A pending request that the decision module does not send, and an unlisted worker to send it to.
+    """Admit a request that the decision module does not send, and add an unlisted worker to send it to.
 
-    Returns the harness, that worker, the client and the router's connection to the client.
+    Returns the harness, the worker, the client and the router's connection to the client.
     """
     harness = start_router(FakeWorker(instances=None), settings=settings)
     worker = FakeWorker("s-9")
@@ -66,13 +67,13 @@
         harness.run_until(lambda: worker.frames, "the worker is connected")
     client = harness.connect_client()
     client.send_request()
-    harness.run_until(lambda: harness.table.pending, "it is admitted")
+    harness.run_until(lambda: harness.table.pending, "the request is admitted")
     [client_connection] = harness.router_process.listener.connections
     return harness, worker, client, client_connection
 
 
 def assert_no_attempt_arrives(harness, worker, worker_connection):
-    """A probe that is sent afterwards arrives, and no attempt before it."""
+    """Assert that a probe sent now arrives, and that no attempt arrives before it."""
     harness.run_until(lambda: worker_connection.is_connected, "the worker is connected")
     harness.probe()
     frame_count = len(worker.frames)
@@ -110,7 +111,7 @@
     busy_connection = next(candidate for candidate in worker_connections if candidate.exchanges)
     for candidate in [candidate for candidate in worker_connections if candidate is not busy_connection]:
         candidate.connection.close(CloseReason.IDLE)
-    busy_connection.connection.close(CloseReason.RESET_BY_PEER)  # before a byte of the attempt was written
+    busy_connection.connection.close(CloseReason.RESET_BY_PEER)  # before any byte of the attempt is written
     [worker_connection] = harness.connections_to()
 
     close_client_unread(client, client_connection)
@@ -132,7 +133,8 @@
     assert wait_readable(busy_connection.connection._sock)
     busy_connection.connection._on_ready(READ)
     harness.run_until(
-        lambda: client.answers and other_connection.is_connected, "it is served, the other worker connected"
+        lambda: client.answers and other_connection.is_connected,
+        "the request is served and the other worker is connected",
     )
     harness.probe(OTHER_UNLISTED_WORKER_ID)
     harness.run_until(lambda: other.frames, "the probe arrives")
@@ -154,7 +156,7 @@
     assert harness.table.attempts.by_key == {}
 
 
-# --- ids of clients' requests ---------------------------------------------------------------------
+# --- request ids ----------------------------------------------------------------------------------
 
 
 def test_id_of_a_pending_request_is_not_admitted_again_from_any_client(start_router):
@@ -163,12 +165,12 @@
     first = harness.connect_client()
     second = harness.connect_client()
     first.send_request(call=REPEATED_ID)
-    harness.run_until(lambda: harness.table.pending, "the first one is admitted")
+    harness.run_until(lambda: harness.table.pending, "the first request is admitted")
 
     for seqid in range(2, 32):
         first.send_request(call=REPEATED_ID, seqid=seqid)
     second.send_request(call=REPEATED_ID, body=b"another")
-    harness.run_until(lambda: len(first.answers) == 30 and second.answers, "all others are answered")
+    harness.run_until(lambda: len(first.answers) == 30 and second.answers, "all other requests are answered")
 
     assert set(first.answer_kinds().values()) | set(second.answer_kinds().values()) == {"exception"}
     assert (len(harness.table.pending), len(harness.router_process.router.fleet.arrivals.recent)) == (1, 1)
@@ -180,11 +182,11 @@
     second = harness.connect_client()
     third = harness.connect_client()
     seqid = first.send_request(call=REPEATED_ID)
-    harness.run_until(lambda: harness.table.pending, "the first one is admitted")
+    harness.run_until(lambda: harness.table.pending, "the first request is admitted")
     first.cancel(seqid)
-    harness.run_until(lambda: not harness.table.pending, "it is cancelled")
+    harness.run_until(lambda: not harness.table.pending, "the request is cancelled")
     second.send_request(call=REPEATED_ID)
-    harness.run_until(lambda: harness.table.pending, "the second one is admitted")
+    harness.run_until(lambda: harness.table.pending, "the second request is admitted")
     connections = harness.router_process.listener.connections
     [second_connection] = [candidate for candidate in connections if candidate.session.pending]
 
@@ -194,7 +196,7 @@
     ]
     third.send_request(call=REPEATED_ID)
     assert wait_readable(third_connection.connection._sock)
-    third_connection.connection._on_ready(READ)  # before the end of the second one is read
+    third_connection.connection._on_ready(READ)  # before the close of the second client is read
 
     assert second_connection.connection.is_closed
     assert list(third_connection.session.pending) == [1]
@@ -223,7 +225,7 @@
 ):
     harness = start_router(FakeWorker(instances=None))
     harness.connect_client().send_request("save")
-    harness.run_until(lambda: harness.table.pending, "it is admitted")
+    harness.run_until(lambda: harness.table.pending, "the request is admitted")
     [(key, request)] = harness.table.pending.items()
     harness.pool.update_endpoint(UNLISTED_WORKER_ID, unreachable_address(), WorkerState.READY, 0.0)
 
@@ -242,10 +244,10 @@
     harness = start_router(FakeWorker(instances=None))
     harness.add_unlisted_worker(worker)
     harness.connect_client().send_request("save")
-    harness.run_until(lambda: harness.table.pending, "it is admitted")
+    harness.run_until(lambda: harness.table.pending, "the request is admitted")
     [request] = harness.table.pending.values()
     send_pending(harness)
-    harness.run_until(lambda: worker.requests, "it runs")
+    harness.run_until(lambda: worker.requests, "the request runs")
 
     worker.answer(worker.requests[0], code=code)
     harness.run_until(lambda: not harness.table.attempts.by_key, "the attempt ends")
@@ -267,14 +269,14 @@
     harness.add_unlisted_worker(first)
     harness.add_unlisted_worker(second, OTHER_UNLISTED_WORKER_ID)
     harness.connect_client().send_request("save")
-    harness.run_until(lambda: harness.table.pending, "it is admitted")
+    harness.run_until(lambda: harness.table.pending, "the request is admitted")
     send_pending(harness)
     harness.run_until(lambda: first.requests, "the first attempt runs")
     [second_connection] = send_pending(harness, OTHER_UNLISTED_WORKER_ID)
     assert not second_connection.is_connected
     [started] = [candidate for candidate in harness.table.attempts.by_key.values() if candidate.is_started]
 
-    started.created_at_ms -= connect_ms  # as if the second connection took that long
+    started.created_at_ms -= connect_ms  # as if connecting to the second worker took that long
     harness.run_until(lambda: second_connection.is_connected, "the second worker is connected")
     harness.probe(OTHER_UNLISTED_WORKER_ID)
     harness.run_until(lambda: second.received(worker_frames.ENSURE_INSTANCES), "the probe arrives")
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -1,4 +1,4 @@
-"""Tests of `log`."""
+"""Tests of `log`: the rate limit, the format of lines, and outputs that fail or block."""
 
 import io
 import os
@@ -81,7 +81,7 @@
     writer.join(5.0)
     was_stopped = writer.is_alive()
     first_line = os.read(read_end, 65536).split(b"\n")[0]
-    for _ in range(64):  # let the thread end
+    for _ in range(64):  # read the pipe until the thread ends
         if writer.is_alive():
             os.read(read_end, 65536)
             writer.join(0.05)
--- a/tests/net/test_pending_request.py
+++ b/tests/net/test_pending_request.py
@@ -1,4 +1,4 @@
-"""Tests of `function_router.net.pending_request`."""
+"""Tests of `pending_request`: the trace of a request and its log line."""
 
 import pytest
 from helpers.pending_requests import pending_request
--- a/tests/net/test_pending_requests.py
+++ b/tests/net/test_pending_requests.py
@@ -1,4 +1,4 @@
-"""Tests of `pending_requests`: limits, ids, and the requests that finished a moment ago."""
+"""Tests of `pending_requests`: limits, ids, and the requests that have finished recently."""
 
 from unittest import mock
 
--- a/tests/net/test_receive_timestamps.py
+++ b/tests/net/test_receive_timestamps.py
@@ -1,4 +1,4 @@
-"""Tests of `receive_timestamps`."""
+"""Tests of `receive_timestamps`: the delay of a read, also across a step of the wall clock."""
 
 import socket
 import struct
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -1,4 +1,4 @@
-"""Tests of `reload`."""
+"""Tests of `reload`: switching to a new endpoint log, ignored changes, and files that fail to load."""
 
 import errno
 from unittest import mock
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def make_reload(harness):
-    """Make the reload of the router's configuration with a function that reads the new one."""
+    """Create a reload of the router's configuration, given a function that reads the new configuration."""
 
     def make(read_config):
         process = harness.router_process
@@ -34,7 +34,7 @@
     new_config = msgspec.structs.replace(harness.router_process.config, endpoint_log=moved.address)
 
     make_reload(lambda: new_config).run()
-    harness.run_until(moved.requests, "the new log has a request")
+    harness.run_until(moved.requests, "the new endpoint log receives a request")
 
     host, port = moved.address
     assert moved.requests() == [["since", "1"]]
@@ -75,7 +75,7 @@
     read_config = mock.Mock(side_effect=[error, error, config])
 
     make_reload(read_config).run()
-    harness.run_until(lambda: configuration_lines(harness), "it is reloaded")
+    harness.run_until(lambda: configuration_lines(harness), "the configuration is reloaded")
 
     assert read_config.call_count == 3
     [line] = configuration_lines(harness)
@@ -96,7 +96,7 @@
     if is_retried:
         assert configuration_lines(harness) == []
         reload._retry_until_ms -= RETRY_MS + 1
-    harness.run_until(lambda: configuration_lines(harness), "it is reported")
+    harness.run_until(lambda: configuration_lines(harness), "the error is reported")
 
     assert read_config.call_count == 1 + is_retried
     assert configuration_lines(harness) == ["configuration not reloaded: ROUTER_CONFIG: unreadable"]
--- a/tests/net/test_request_parser.py
+++ b/tests/net/test_request_parser.py
@@ -1,4 +1,4 @@
-"""Tests of `request_parser`."""
+"""Tests of `request_parser`: valid and invalid fields of a request."""
 
 import pytest
 from helpers.client_messages import FUNCTION, REQUEST_FIELDS
--- a/tests/net/test_request_table.py
+++ b/tests/net/test_request_table.py
@@ -1,4 +1,4 @@
-"""Tests of `function_router.net.request_table`: answers, retries and the log."""
+"""Tests of `request_table`: answers, retries and the log."""
 
 import time
 from unittest import mock
@@ -25,12 +25,12 @@
     client = harness.connect_client()
     for number in range(4):
         client.send_request(body=b"ask%d" % number)
-    harness.run_until(lambda: len(worker.requests) == 4, "all four run")
+    harness.run_until(lambda: len(worker.requests) == 4, "all four requests run")
     assert {frame.fields["obj"] for _, frame in worker.requests} == {FUNCTION}
 
     for number, request in enumerate(reversed(worker.requests)):
         worker.answer(request, body=b"for " + request.frame.body)
-        harness.run_until(lambda number=number: len(client.answers) > number, "the next one is answered")
+        harness.run_until(lambda number=number: len(client.answers) > number, "the next request is answered")
         assert client.answers[number][0] == int.from_bytes(request.frame.exchange_id, "big")
 
     bodies = {seqid: content[1] for seqid, _, content in client.answers}
@@ -42,7 +42,7 @@
     idempotency_key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
     harness.connect_client().send_request("save", body, call="9B1f03aa5c7e2d41", dedupe=idempotency_key)
-    harness.run_until(lambda: worker.requests, "it runs")
+    harness.run_until(lambda: worker.requests, "the request runs")
 
     [(_, frame)] = worker.requests
     fields = {name: frame.fields[name] for name in ("kind", "obj", "token")}
@@ -55,12 +55,12 @@
     client = harness.run_request(worker)
 
     client.cancel(1)
-    harness.run_until(lambda: worker.received(worker_frames.CANCEL), "it is cancelled at the worker")
+    harness.run_until(lambda: worker.received(worker_frames.CANCEL), "the worker receives the cancellation")
     worker.answer(worker.requests[0], body=b"late")
     second = client.send_request()
-    harness.run_until(lambda: len(worker.requests) == 2, "the next one runs")
+    harness.run_until(lambda: len(worker.requests) == 2, "the next request runs")
     worker.answer(worker.requests[1], body=b"in time")
-    harness.run_until(lambda: client.answers, "the next one is answered")
+    harness.run_until(lambda: client.answers, "the next request is answered")
 
     assert [answer[0] for answer in client.answers] == [second]
     assert not harness.table.pending
@@ -71,7 +71,7 @@
 
     worker.answer(worker.requests[0], body=b"one")
     worker.answer(worker.requests[0], body=b"two")
-    harness.run_until(lambda: client.answers, "it is answered")
+    harness.run_until(lambda: client.answers, "the request is answered")
     harness.round_trip(client)
 
     assert [content[1] for _, _, content in client.answers] == [b"one", b""]
@@ -81,7 +81,7 @@
     client = harness.run_request(worker)
 
     client.close()
-    harness.run_until(lambda: worker.received(worker_frames.CANCEL), "it is cancelled at the worker")
+    harness.run_until(lambda: worker.received(worker_frames.CANCEL), "the worker receives the cancellation")
 
     assert not harness.table.pending
     assert not harness.router_process.listener.connections
@@ -92,12 +92,12 @@
 
     with mock.patch.object(harness.router_process.router, "handle", side_effect=KeyError("boom")):
         seqid = client.send_request(ttl="60")
-        harness.run_until(lambda: client.answers, "the deadline timer answers")
+        harness.run_until(lambda: client.answers, "the deadline timer answers the request")
 
     assert client.answer_kinds() == {seqid: "broken"}
     assert "boom" in "".join(harness.log_lines)
     client.send_request()
-    harness.run_until(lambda: worker.requests, "the next one runs")
+    harness.run_until(lambda: worker.requests, "the next request runs")
 
 
 def test_deadline_timer_reports_the_request_as_cancelled_to_the_decision_module(harness):
@@ -105,7 +105,7 @@
 
     with mock.patch.object(harness.router_process.router, "handle", return_value=[]) as handle:
         client.send_request(call=CLIENT_REQUEST_ID, ttl="60")
-        harness.run_until(lambda: client.answers, "the deadline timer answers")
+        harness.run_until(lambda: client.answers, "the deadline timer answers the request")
         harness.round_trip(client)
 
     events = [event for batch in handle.call_args_list for event in batch.args[1]]
@@ -119,7 +119,7 @@
     stall_ms = 400.0
     time.sleep(stall_ms / 1000)
 
-    queueing_harness.run_until(lambda: queueing_harness.table.pending, "it is read")
+    queueing_harness.run_until(lambda: queueing_harness.table.pending, "the request is read")
 
     [request] = queueing_harness.table.pending.values()
     time_left_ms = 8000.0 - stall_ms
@@ -139,7 +139,7 @@
         client = harness.connect_client()
         with mock.patch.object(pending_requests, "MAX_TOTAL_BODY_BYTES", 10):
             client.send_request(body=b"x" * 11)
-            harness.run_until(lambda client=client: client.answers, "it is rejected")
+            harness.run_until(lambda client=client: client.answers, "the request is rejected")
         [answer] = client.answers
         assert answer.kind == "throttled"
         advice.append(float(answer.content[1]["pushback"]))
@@ -153,9 +153,9 @@
     with mock.patch.object(pending_requests, "MAX_TOTAL_BODY_BYTES", 10):
         for _ in range(2):
             seqid = client.send_request(body=b"x" * 10)
-            queueing_harness.run_until(lambda: queueing_harness.table.pending, "it is admitted")
+            queueing_harness.run_until(lambda: queueing_harness.table.pending, "the request is admitted")
             client.cancel(seqid)
-            queueing_harness.run_until(lambda: not queueing_harness.table.pending, "it is cancelled")
+            queueing_harness.run_until(lambda: not queueing_harness.table.pending, "the request is cancelled")
 
     assert client.answers == []
 
@@ -164,7 +164,7 @@
 
 
 def reset_first_attempt(start_router, class_name):
-    """A request whose first worker resets the connection once the whole request has arrived.
+    """Send a request whose first worker closes its connections once the whole request has arrived.
 
     Returns the harness, the client, the first worker and the other one.
     """
@@ -172,7 +172,7 @@
     harness = start_router(*workers)
     client = harness.connect_client()
     client.send_request(class_name)
-    harness.run_until(lambda: any(worker.requests for worker in workers), "it runs")
+    harness.run_until(lambda: any(worker.requests for worker in workers), "the request runs")
     first = next(worker for worker in workers if worker.requests)
     for worker_connection in first.connections:
         worker_connection.close()
@@ -183,7 +183,7 @@
 def test_at_most_once_request_is_failed_and_neither_rejected_nor_retried(start_router):
     harness, client, first, other = reset_first_attempt(start_router, "settle")
 
-    harness.run_until(lambda: client.answers, "it is failed")
+    harness.run_until(lambda: client.answers, "the request is failed")
     harness.round_trip(client)
 
     assert client.answer_kinds()[1] == "broken"
@@ -194,9 +194,9 @@
 def test_repeatable_request_is_retried_on_another_worker(start_router, class_name):
     harness, client, _, other = reset_first_attempt(start_router, class_name)
 
-    harness.run_until(lambda: other.requests, "it runs on the other worker")
+    harness.run_until(lambda: other.requests, "the request runs on the other worker")
     other.answer(other.requests[0], body=b"again")
-    harness.run_until(lambda: client.answers, "it is answered")
+    harness.run_until(lambda: client.answers, "the request is answered")
 
     assert client.answers[0][1:] == ("answer", {1: b"again", 2: {}, 3: True})
 
@@ -210,7 +210,7 @@
     client = harness.connect_client()
 
     client.send_request(call=CLIENT_REQUEST_ID, ttl="80")
-    harness.run_until(lambda: client.answers, "it is rejected")
+    harness.run_until(lambda: client.answers, "the request is rejected")
 
     [line] = [line for line in harness.log_lines if CLIENT_REQUEST_ID in line]
     worker_id = worker.worker_id
@@ -223,10 +223,10 @@
     harness = start_router(worker, settings={"classes": [TIGHT_OBJECTIVE_CLASS]})
     client = harness.connect_client()
     client.send_request(call=CLIENT_REQUEST_ID)
-    harness.run_until(lambda: worker.requests, "it runs")
+    harness.run_until(lambda: worker.requests, "the request runs")
 
     worker.answer(worker.requests[0])
-    harness.run_until(lambda: client.answers, "it is answered")
+    harness.run_until(lambda: client.answers, "the request is answered")
 
     [line] = [line for line in harness.log_lines if CLIENT_REQUEST_ID in line]
     worker_id = worker.worker_id
@@ -239,7 +239,7 @@
     client = harness.run_request(worker)
 
     worker.answer(worker.requests[0])
-    harness.run_until(lambda: client.answers, "it is answered")
+    harness.run_until(lambda: client.answers, "the request is answered")
 
     assert not [line for line in harness.log_lines if FUNCTION in line]
 
--- a/tests/net/test_router_process.py
+++ b/tests/net/test_router_process.py
@@ -1,4 +1,4 @@
-"""Tests of `router_process`; `test_drain` and `test_reload` have those of its end and its reload."""
+"""Tests of `router_process`; `test_drain` and `test_reload` test its shutdown and its reload."""
 
 import signal
 from unittest import mock
--- a/tests/net/test_socket_reader.py
+++ b/tests/net/test_socket_reader.py
@@ -1,4 +1,4 @@
-"""Tests of `socket_reader`, on loopback."""
+"""Tests of `socket_reader`, over loopback."""
 
 import errno
 import time
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def open_reader(loop, accept_socket):
-    """Make readers of accepted sockets, each with its peer; `wrap` replaces the socket."""
+    """Create readers of accepted sockets, each with its socket and peer; `wrap` may replace the socket."""
 
     def make(wrap=lambda sock: sock):
         sock, peer = accept_socket()
--- a/tests/net/test_socket_writer.py
+++ b/tests/net/test_socket_writer.py
@@ -1,4 +1,4 @@
-"""Tests of `socket_writer`, on loopback."""
+"""Tests of `socket_writer`, over loopback."""
 
 import errno
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def open_writer(accept_socket):
-    """Make writers to accepted sockets, which fail once with each of some errors."""
+    """Create writers to accepted sockets, whose operations fail once with each of the given errors."""
 
     def make(*error_numbers):
         sock, _ = accept_socket()
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -1,4 +1,4 @@
-"""Tests of `sockets`, on loopback."""
+"""Tests of `sockets`, over loopback."""
 
 import errno
 import socket
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def open_socket(accept_socket):
-    """Make a non-blocking accepted socket with its peer."""
+    """Create a non-blocking accepted socket and the socket of its peer."""
 
     def make():
         sock, peer = accept_socket()
--- a/tests/net/test_thrift.py
+++ b/tests/net/test_thrift.py
@@ -1,4 +1,4 @@
-"""Tests of the Thrift codec: reading messages of clients and writing the answers."""
+"""Tests of the Thrift codec: decoding messages of clients and encoding answers."""
 
 import struct
 
--- a/tests/net/test_timer_wheel.py
+++ b/tests/net/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""Tests of `timer_wheel`."""
+"""Tests of `timer_wheel`: when timers fire, cancellation, and exceptions in callbacks."""
 
 import pytest
 from helpers.fake_clock import FakeMonotonicClock
@@ -22,7 +22,7 @@
 
 @pytest.fixture(scope="module")
 def elapsed_ms_by_delay():
-    """When the timers of one wheel fired, one for each delay."""
+    """The time after which each timer of a wheel fired, with one timer per delay."""
     clock = FakeMonotonicClock(STARTED_AT_MS)
     wheel = TimerWheel(clock.read_ms)
     fired = {}
--- a/tests/net/test_unread_since.py
+++ b/tests/net/test_unread_since.py
@@ -1,4 +1,4 @@
-"""Tests of `unread_since`: the bound on how long unread bytes can have waited."""
+"""Tests of `unread_since`: the upper limit of the time for which unread bytes can have waited."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 class FakeLoop:
-    """The attributes of an event loop that say when it polled the sockets."""
+    """The attributes of an event loop that describe its polls."""
 
     def __init__(self):
         self.poll_count = 0
@@ -14,7 +14,7 @@
         self.turn_started_ms = 0.0
 
     def poll(self, at_ms):
-        """Poll the sockets."""
+        """Record a poll at a time."""
         self.poll_count += 1
         self.previous_poll_ms = self.turn_started_ms
         self.turn_started_ms = at_ms
--- a/tests/net/test_worker_frames.py
+++ b/tests/net/test_worker_frames.py
@@ -1,4 +1,4 @@
-"""Tests of `worker_frames`."""
+"""Tests of `worker_frames`: the layout of frames, chunked reads, and invalid frames."""
 
 import struct
 import zlib
@@ -10,7 +10,7 @@
 from function_router.net.codecs import worker_frames
 from function_router.net.codecs.worker_frames import FrameReader
 
-WORKER_BYTE = 129  # the first byte of a worker's frame, as documented
+WORKER_BYTE = 129  # the direction byte of a worker's frame, as documented
 VALID_FRAME = worker_frames.encode(0, b"goodgood", "res=reused", b"x", WORKER_BYTE)
 
 
--- a/tests/net/test_write_queue.py
+++ b/tests/net/test_write_queue.py
@@ -1,4 +1,4 @@
-"""Tests of `write_queue`."""
+"""Tests of `write_queue`: the order and the size of writes, and their cancellation."""
 
 import pytest
 
