--- a/function_router/net/client_connection.py
+++ b/function_router/net/client_connection.py
@@ -14,19 +14,19 @@
 # Close reasons after which no client waits for answers: it closed the connection or does not read them.
 CLIENT_GONE_REASONS = (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER, CloseReason.WRITE_BUFFER_FULL)
 
-# Clients close a connection after 4 s without a request. A connection that stays idle for this long has a
-# client that never closes it.
+# A connection that is idle for this long is closed. Clients close theirs after 4 s without a request, so the
+# client of such a connection would leave it open forever.
 IDLE_TIMEOUT_MS = 30_000.0
 # If bytes may have been unread for longer than this, the process has been stalled, and the messages of one
 # read may differ in age. Otherwise all messages of a read are treated as equally old.
 MIN_STALL_MS = 100.0
 
-# High-water mark of the answers to one client that are not written yet: reading from the client pauses.
+# High-water mark: reading from a client pauses once the unwritten answers to it reach this size.
 HIGH_WATER_BYTES = 64 * 1024
-# Unwritten answers to one client above which it is disconnected.
+# Maximum size of the unwritten answers to one client; above it, the client is disconnected.
 MAX_UNWRITTEN_BYTES = 1024 * 1024
-# Unwritten answers to all clients above which each client over the high-water mark is disconnected, to
-# limit memory use.
+# Maximum size of the unwritten answers to all clients, which limits memory use; above it, each client over
+# the high-water mark is disconnected.
 MAX_TOTAL_UNWRITTEN_BYTES = 32 * 1024 * 1024
 
 
