--- a/function_router/net/telemetry.py
+++ b/function_router/net/telemetry.py
@@ -9,7 +9,7 @@
 ATTEMPTS = "attempts"
 START_ORDERS = "start orders"
 PROBES = "probes"
-HEALTH_CHECKS = "health checks"  # ended health checks; detail: the answer of the worker
+HEALTH_CHECKS = "health checks"  # ended health checks; detail: the readiness, or the outcome on failure
 WITHHELD = "withheld"  # requests withheld from workers not proven ready, once per request and worker
 WORKER_CONNECTS = "connects"  # started connections to workers
 WORKER_CONNECTIONS_CLOSED = "closed"  # closed connections to workers; detail: the close reason
