--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,6 +1,6 @@
 """A soak test: real router processes on loopback under overlapping faults, checked by the operator's rules.
 
-From the plan to the verdict:
+From the plan to the result of the check:
 
 - Plan: `plan` draws the faults of a run from a seed; `site` has the figures that all parts share.
 - Run: `run` starts a `cluster` and injects the faults on schedule. `faults` has one function for each kind,
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -13,7 +13,7 @@
 
 from soak.checker import check_run
 from soak.plan import FaultKind, Plan, draw_plan
-from soak.rules import Verdict
+from soak.rules import CheckResult
 from soak.run import run_plan
 from soak.run_folder import RunFolder
 
@@ -34,7 +34,7 @@
 KeepOption = Annotated[Path | None, typer.Option(help="Keep records and logs in this folder.")]
 
 
-def _run(plan: Plan, folder: RunFolder, *, uses_shim: bool) -> Verdict:
+def _run(plan: Plan, folder: RunFolder, *, uses_shim: bool) -> CheckResult:
     """Run a plan in a fresh folder, and check it."""
     if folder.path.exists():
         shutil.rmtree(folder.path)
@@ -44,24 +44,24 @@
     return check_run(record)
 
 
-def _report(plan: Plan, verdict: Verdict, took_s: float) -> None:
+def _report(plan: Plan, check_result: CheckResult, took_s: float) -> None:
     kinds = sorted({fault.kind for fault in plan.faults})
-    figures = ", ".join(f"{name} {count}" for name, count in sorted(verdict.figures.items()) if count)
-    outcome = "broken" if verdict.violations else "kept"
+    figures = ", ".join(f"{name} {count}" for name, count in sorted(check_result.figures.items()) if count)
+    outcome = "broken" if check_result.violations else "kept"
     typer.echo(f"seed {plan.seed}: {outcome} in {took_s:.0f} s; {', '.join(kinds) or 'no faults'}; {figures}")
-    for rule, count in verdict.violations.items():
+    for rule, count in check_result.violations.items():
         typer.echo(f"  {count} x {rule}")
-        for example in verdict.examples[rule]:
+        for example in check_result.examples[rule]:
             typer.echo(f"    {example}")
     sys.stdout.flush()
 
 
 def _run_and_report(plan: Plan, folder: RunFolder, *, uses_shim: bool) -> bool:
-    """Run a plan and print its verdict; whether it kept all rules."""
+    """Run a plan and print the result of its check; whether it kept all rules."""
     started = time.monotonic()
-    verdict = _run(plan, folder, uses_shim=uses_shim)
-    _report(plan, verdict, time.monotonic() - started)
-    return not verdict.violations
+    check_result = _run(plan, folder, uses_shim=uses_shim)
+    _report(plan, check_result, time.monotonic() - started)
+    return not check_result.violations
 
 
 def main(
--- a/soak/bad_clients.py
+++ b/soak/bad_clients.py
@@ -10,7 +10,7 @@
 from soak.records import BadClientSeen, Recorder
 from soak.thrift_messages import END_OF_STRUCT, encode_cancel, encode_request
 
-PATIENCE_S = 4.0  # longer than the router may take, so that the checker sees how late it is
+RESPONSE_TIMEOUT_S = 4.0  # longer than the router may take, so that the checker sees how late it is
 NOISE_BYTES = 300
 CANCEL_COUNT = 300
 MAX_SIZE = 2**31 - 1  # of a frame, as its header can state it
@@ -29,7 +29,7 @@
     return encode_request(1, fields, b"")
 
 
-def _draw_messages(rng: random.Random) -> dict[str, bytes]:
+def _make_messages(rng: random.Random) -> dict[str, bytes]:
     """What each kind of bad client sends."""
     valid = _encode_request()
     invalid_class = _encode_request(op="nothing")
@@ -52,7 +52,7 @@
 
 async def run_bad_client(router: int, port: int, recorder: Recorder, rng: random.Random) -> None:
     """Connect, send, and record whether the router has answered or closed in time."""
-    kind, message = rng.choice(list(_draw_messages(rng).items()))
+    kind, message = rng.choice(list(_make_messages(rng).items()))
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
@@ -61,7 +61,7 @@
     is_settled = True
     try:
         writer.write(message)
-        await asyncio.wait_for(reader.read(1), PATIENCE_S)
+        await asyncio.wait_for(reader.read(1), RESPONSE_TIMEOUT_S)
     except TimeoutError:
         is_settled = False
     except OSError:
--- a/soak/client_connections.py
+++ b/soak/client_connections.py
@@ -7,7 +7,7 @@
 
 MAX_PENDING_REQUESTS = 32  # on a connection, which then gets no more
 MAX_IDLE_S = 4.0  # until the client closes the connection
-KEPT_SHARE = 0.5  # of extra connections; the others stay open, but are never used again
+REUSABLE_SHARE = 0.5  # of extra connections; the others stay open, but are never used again
 
 
 class ClientConnections:
@@ -18,7 +18,7 @@
         self._rng = rng
         self._min_per_router = min_per_router
         self._reusable: dict[int, list[ThriftConnection]] = {}  # by port
-        self._abandoned: list[ThriftConnection] = []
+        self._never_reused: list[ThriftConnection] = []
 
     async def acquire(
         self, port: int, *, is_new: bool, is_private: bool, may_connect: bool = True
@@ -44,13 +44,13 @@
             raise ConnectionRefusedError
         connection = await ThriftConnection.open(port)
         if not is_private:
-            is_kept = not is_new or self._rng.random() < KEPT_SHARE
-            (reusable if is_kept else self._abandoned).append(connection)
+            is_reusable = not is_new or self._rng.random() < REUSABLE_SHARE
+            (reusable if is_reusable else self._never_reused).append(connection)
         return connection
 
     def close(self) -> None:
         """Close all connections."""
-        for connection in self._abandoned:
+        for connection in self._never_reused:
             connection.close()
         for reusable in self._reusable.values():
             for connection in reusable:
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -16,7 +16,7 @@
 from soak.request_client import RequestClient, Target, draw_request
 
 RATE_POLL_S = 0.05  # while the rate is 0
-SETTLE_S = 0.1  # for the tasks of closed connections to end
+CLEANUP_DELAY_S = 0.1  # for the tasks of closed connections to end
 
 
 class Clients:
@@ -51,7 +51,7 @@
         if self._tasks:
             await asyncio.wait(self._tasks)
         self._connections.close()
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(CLEANUP_DELAY_S)
 
     async def _run_arrivals(
         self, get_rate: Callable[[], float], start: Callable[[int], Coroutine[None, None, None]]
@@ -72,11 +72,11 @@
         may_connect = router not in self._command.open_only
         target = Target(router, self._command.ports[router], may_connect)
         should_retry = await self._requests.send(request, target)
-        if should_retry and (routers := self._routers_to_connect_to()):
+        if should_retry and (routers := self._connectable_routers()):
             other = router if router in routers else self._rng.choice(routers)
             await self._requests.send(request, Target(other, self._command.ports[other]), is_retry=True)
 
-    def _routers_to_connect_to(self) -> list[int]:
+    def _connectable_routers(self) -> list[int]:
         command = self._command
         return [
             router for router, port in enumerate(command.ports) if port and router not in command.open_only
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -12,7 +12,7 @@
 from soak.endpoint_feed import EndpointFeed
 from soak.module_process import ModuleProcess
 from soak.plan import Plan
-from soak.ports import OTHER_PORTS, PortRange
+from soak.ports import OTHER_PORTS, PortAllocator
 from soak.router_config import RouterConfig, make_settings
 from soak.router_slot import RouterSlot
 from soak.run_folder import RunFolder
@@ -20,10 +20,10 @@
 from soak.traffic import Traffic
 from soak.worker_slot import WorkerSlot
 
-FINISH_S = 8.0  # for the clients, and then for the proxy, to end by themselves
-SETTLE_S = 0.2  # for pipes and tasks to end
+FINISH_TIMEOUT_S = 8.0  # for the clients, and then for the proxy, to end by themselves
+CLEANUP_DELAY_S = 0.2  # for pipes and tasks to end
 START_FAILURE_SHARE = 0.3  # of the calls of socket and open that fail while a router starts
-START_FAILURE_S = 1.0
+START_FAILURE_DURATION_S = 1.0
 
 
 class Cluster:
@@ -50,7 +50,7 @@
         self.log_outages: list[LogOutage] = []
         self._folder = folder
         self._shim = shim
-        self._ports = PortRange(OTHER_PORTS)
+        self._ports = PortAllocator(OTHER_PORTS)
         self._proxy: ModuleProcess
         self._clients: ModuleProcess
         self._resources = contextlib.AsyncExitStack()
@@ -58,7 +58,7 @@
     async def __aenter__(self) -> "Cluster":
         async with self._resources:  # ends what has started if the rest can't start
             self._resources.callback(self._ports.close)
-            self._resources.push_async_callback(asyncio.sleep, SETTLE_S)
+            self._resources.push_async_callback(asyncio.sleep, CLEANUP_DELAY_S)
             proxy_ports = await self._start_proxy()
             await self._start_workers()
             await self._start_endpoint_logs(proxy_ports)
@@ -95,7 +95,7 @@
             router.shim_control.socket_failures = START_FAILURE_SHARE
             router.shim_control.open_failures = START_FAILURE_SHARE
         starting = asyncio.create_task(router.start())
-        await asyncio.sleep(START_FAILURE_S)
+        await asyncio.sleep(START_FAILURE_DURATION_S)
         router.shim_control.socket_failures = 0.0
         router.shim_control.open_failures = 0.0
         router.write_shim_control()
@@ -104,12 +104,12 @@
     async def drain(self) -> None:
         """End the traffic, then terminate the routers as a deployment would, and complete all records."""
         await self.traffic.stop()
-        await self._clients.finish(FINISH_S)
+        await self._clients.finish(FINISH_TIMEOUT_S)
         for router in self.routers:
             router.record_unplanned_exit()
         running = [router for router in self.routers if router.incarnation.exited_at is None]
         await asyncio.gather(*(router.terminate() for router in running))
-        await self._proxy.finish(FINISH_S)
+        await self._proxy.finish(FINISH_TIMEOUT_S)
 
     async def _start_proxy(self) -> list[list[int]]:
         """Start the proxy; its ports by router and worker slot."""
@@ -133,7 +133,7 @@
     async def _start_routers(self) -> None:
         settings = make_settings(self.plan.router_count, self.plan.worker_count)
         for number in range(self.plan.router_count):
-            port = self._ports.take()
+            port = self._ports.allocate()
             config = RouterConfig(f"n{number}", port, f"{self.rng.getrandbits(64):016x}", settings)
             router = RouterSlot(number, self._folder, config, self._shim)
             self.routers.append(router)
--- a/soak/endpoint_feed.py
+++ b/soak/endpoint_feed.py
@@ -7,7 +7,7 @@
 
 from soak.endpoint_events import Endpoint, EndpointEvent
 from soak.endpoint_log import EndpointLogServer
-from soak.ports import PortRange
+from soak.ports import PortAllocator
 
 
 class EndpointFeed:
@@ -17,7 +17,7 @@
         servers: the endpoint log of each router.
     """
 
-    def __init__(self, proxy_ports: Sequence[Sequence[int]], ports: PortRange) -> None:
+    def __init__(self, proxy_ports: Sequence[Sequence[int]], ports: PortAllocator) -> None:
         """Serve events to routers that reach worker slots at `proxy_ports`, by router and slot."""
         self._proxy_ports = proxy_ports
         self._events: list[EndpointEvent] = []
@@ -33,13 +33,13 @@
 
     async def start(self, endpoints: Sequence[Endpoint]) -> None:
         """Listen, with the complete list of endpoints as the first event."""
-        self._add(endpoints, is_complete=True)
+        self._append_event(endpoints, is_complete=True)
         for server in self.servers:
             await server.start()
 
     async def publish(self, endpoint: Endpoint) -> dict[int, float]:
         """Publish a change of one endpoint; return, by router, the time from which it counts as notified."""
-        self._add([endpoint], is_complete=False)
+        self._append_event([endpoint], is_complete=False)
         now = time.monotonic()
         notified_at = {router: server.notified_at(now) for router, server in enumerate(self.servers)}
         for server in self.servers:
@@ -55,7 +55,7 @@
         for server in self.servers:
             await server.close()
 
-    def _add(self, endpoints: Sequence[Endpoint], *, is_complete: bool) -> None:
+    def _append_event(self, endpoints: Sequence[Endpoint], *, is_complete: bool) -> None:
         sequence = len(self._events) + 1
         self._events.append(EndpointEvent(sequence, tuple(endpoints), is_complete=is_complete))
 
--- a/soak/endpoint_log.py
+++ b/soak/endpoint_log.py
@@ -16,20 +16,20 @@
 import msgspec
 
 from soak.endpoint_events import EndpointEvent
-from soak.ports import PortRange, listen
+from soak.ports import PortAllocator, listen
 
 HEARTBEAT = b'{"seq":%d}\n'
 HEARTBEAT_S = 1.0
-OLD_ADDRESS_S = 1.5  # after a move, until connections to the old port are closed
+OLD_PORT_CLOSE_DELAY_S = 1.5  # after a move, until connections to the old port are closed
 NOTIFIED_AFTER_BREAK_S = 2.0
 NOTIFIED_AFTER_SILENCE_S = 4.0
-TRICKLE_S = 0.4  # between the bytes of a log that sends one now and then
+TRICKLE_INTERVAL_S = 0.4  # between the bytes of a log that sends one now and then
 SEQUENCES_AHEAD = 5
 FLAP_DOWN_S = 2.5  # of a log that comes back for a moment again and again
 FLAP_UP_S = 0.4
 
 # What the first line of a router is split into: a word, and the number of the last event that it knows.
-KNOWN_SEQUENCE_WORD = 1
+KNOWN_SEQUENCE_INDEX = 1
 
 
 class LogFailure(Enum):
@@ -54,7 +54,7 @@
         self,
         events: Sequence[EndpointEvent],
         to_wire: Callable[[EndpointEvent], dict[str, Any]],
-        ports: PortRange,
+        ports: PortAllocator,
     ) -> None:
         """Serve `events`, each as `to_wire` makes it for this router, at a port of the range."""
         self.port = 0
@@ -63,18 +63,18 @@
         self._ports = ports
         self._is_silent = False
         self._failure: LogFailure | None = None
-        self._notified_from = 0.0  # monotonic seconds; an event counts as notified no earlier
+        self._earliest_notified_at = 0.0  # monotonic seconds; an event counts as notified no earlier
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
         self._published = asyncio.Condition()
 
     def notified_at(self, published_at: float) -> float:
         """From when on the router counts as notified of an event that is published now."""
-        return max(published_at, self._notified_from)
+        return max(published_at, self._earliest_notified_at)
 
     async def start(self) -> None:
         """Listen, on the same port as before unless the log has moved, and if it doesn't refuse that now."""
-        self.port = self.port or self._ports.take()
+        self.port = self.port or self._ports.allocate()
         if self._failure is not LogFailure.REFUSES and self._server is None:
             self._server = await listen(self._serve, self.port)
 
@@ -94,7 +94,7 @@
         if old_server:
             old_server.close()
         for connection in old_connections:
-            asyncio.get_running_loop().call_later(OLD_ADDRESS_S, connection.cancel)
+            asyncio.get_running_loop().call_later(OLD_PORT_CLOSE_DELAY_S, connection.cancel)
 
     async def stay_silent(self, seconds: float) -> None:
         """Stay connected and send nothing for a while."""
@@ -146,7 +146,7 @@
 
     def _delay_notifications(self, seconds: float) -> None:
         """Have events count as notified no earlier than this long after now."""
-        self._notified_from = max(self._notified_from, time.monotonic() + seconds)
+        self._earliest_notified_at = max(self._earliest_notified_at, time.monotonic() + seconds)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = asyncio.current_task()
@@ -155,7 +155,7 @@
         server = self._server
         try:
             request = await reader.readline()
-            await self._send_events(writer, int(request.split()[KNOWN_SEQUENCE_WORD]), server)
+            await self._send_events(writer, int(request.split()[KNOWN_SEQUENCE_INDEX]), server)
         except (OSError, IndexError, ValueError, asyncio.CancelledError):
             pass
         finally:
@@ -169,16 +169,16 @@
         """Send events as they are published, as long as `server` is the one that listens."""
         while not writer.is_closing():
             if server is self._server and not self._is_silent:
-                known_sequence = self._send_what_is_due(writer, known_sequence)
+                known_sequence = self._send_update(writer, known_sequence)
                 await writer.drain()
             async with self._published:
-                pause_s = TRICKLE_S if self._failure is LogFailure.TRICKLES else HEARTBEAT_S
+                pause_s = TRICKLE_INTERVAL_S if self._failure is LogFailure.TRICKLES else HEARTBEAT_S
                 try:
                     await asyncio.wait_for(self._published.wait(), pause_s)
                 except TimeoutError:
                     continue
 
-    def _send_what_is_due(self, writer: asyncio.StreamWriter, known_sequence: int) -> int:
+    def _send_update(self, writer: asyncio.StreamWriter, known_sequence: int) -> int:
         """Send what is new and a heartbeat, or what a log that fails sends; return the last number sent."""
         last_sequence = self._events[-1].sequence
         match self._failure:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from soak.cluster import Cluster
-from soak.log_outage import take_logs_out
+from soak.log_outage import inject_log_outage
 from soak.plan import Fault, FaultKind
 from soak.router_slot import RouterSlot
 from soak.worker_changes import drain_and_replace, publish_ready
@@ -19,22 +19,22 @@
 
 BURST_FACTOR = 2.5  # of the plan's rate of requests
 BAD_CLIENTS_PER_S = 20.0
-ROUTER_DOWN_S = 0.3  # between the end of a router and its next start
-LATE_CONNECTIONS_S = 0.3  # after SIGTERM, until clients avoid the router
-CLIENTS_NOTICE_S = 0.8  # until clients avoid a router that was killed
+ROUTER_DOWNTIME_S = 0.3  # between the end of a router and its next start
+SIGTERM_DETECTION_S = 0.3  # after SIGTERM, until clients avoid the router
+KILL_DETECTION_S = 0.8  # until clients avoid a router that was killed
 SIGHUP_COUNT = 4
-MAX_BETWEEN_SIGNALS_S = 0.2
+MAX_SIGNAL_INTERVAL_S = 0.2
 MAX_INTENSITY_WITHOUT_ROLL = 0.5  # of a series of signals
 MIN_PAUSE_S = 0.1
 MAX_EXTRA_PAUSE_S = 0.15  # on top of it, at full intensity
-BETWEEN_PAUSES_S = 0.4
+PAUSE_INTERVAL_S = 0.4
 CLOCK_STEPS_S = (5.0, -5.0, 3600.0, -3600.0, 60.0)
-MIN_WORKER_DOWN_S = 0.1  # between the end of a worker and its next start
-MAX_WORKER_DOWN_S = 0.8
+MIN_WORKER_DOWNTIME_S = 0.1  # between the end of a worker and its next start
+MAX_WORKER_DOWNTIME_S = 0.8
 MAX_PUBLISH_DELAY_S = 0.5  # between a worker's start and its event
-DRAIN_S = 1.5  # between a worker's drain and its end
+DRAIN_DURATION_S = 1.5  # between a worker's drain and its end
 RESET_COUNT = 3
-BETWEEN_RESETS_S = 0.3
+RESET_INTERVAL_S = 0.3
 MIN_CORRUPTED_SHARE = 0.05
 MAX_EXTRA_CORRUPTED_SHARE = 0.1  # on top of it, at full intensity
 
@@ -57,24 +57,24 @@
 async def roll_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
     """Send SIGTERM; clients connect for a moment more, and use open connections until SIGKILL would come."""
     ending = asyncio.create_task(router.terminate())
-    await asyncio.sleep(LATE_CONNECTIONS_S)
+    await asyncio.sleep(SIGTERM_DETECTION_S)
     await cluster.traffic.open_no_connections(router.number)
     await ending
     await cluster.traffic.avoid_router(router.number)
-    await _start_again(cluster, router)
+    await _restart_router(cluster, router)
 
 
 async def kill_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
     """Send SIGKILL, which clients notice only later, then start a new process."""
     ending = asyncio.create_task(router.kill())
-    await asyncio.sleep(CLIENTS_NOTICE_S)
+    await asyncio.sleep(KILL_DETECTION_S)
     await cluster.traffic.avoid_router(router.number)
     await ending
-    await _start_again(cluster, router)
+    await _restart_router(cluster, router)
 
 
-async def _start_again(cluster: Cluster, router: RouterSlot) -> None:
-    await asyncio.sleep(ROUTER_DOWN_S)
+async def _restart_router(cluster: Cluster, router: RouterSlot) -> None:
+    await asyncio.sleep(ROUTER_DOWNTIME_S)
     await cluster.start_router(router)
     if router.incarnation.ready_at:
         await cluster.traffic.use_router(router.number, router.config.port)
@@ -87,7 +87,7 @@
         router.pause()
         await asyncio.sleep(MIN_PAUSE_S + MAX_EXTRA_PAUSE_S * fault.intensity)
         router.resume()
-        await asyncio.sleep(BETWEEN_PAUSES_S)
+        await asyncio.sleep(PAUSE_INTERVAL_S)
 
 
 async def reload_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
@@ -102,12 +102,12 @@
     """Move the log and send SIGHUP several times in a row; at high intensity, roll the router amid more."""
     for _ in range(SIGHUP_COUNT):
         await reload_router(cluster, router, fault)
-        await asyncio.sleep(MAX_BETWEEN_SIGNALS_S * fault.intensity)
+        await asyncio.sleep(MAX_SIGNAL_INTERVAL_S * fault.intensity)
     if fault.intensity > MAX_INTENSITY_WITHOUT_ROLL:
         rolling = asyncio.create_task(roll_router(cluster, router, fault))
-        await asyncio.sleep(MAX_BETWEEN_SIGNALS_S)
+        await asyncio.sleep(MAX_SIGNAL_INTERVAL_S)
         router.reload()
-        router.repeat_term()
+        router.repeat_sigterm()
         await rolling
 
 
@@ -155,7 +155,7 @@
     """Kill a worker and restart it under its name; the endpoint log announces it a moment later."""
     name = slot.incarnation.name
     await slot.kill()
-    await asyncio.sleep(cluster.rng.uniform(MIN_WORKER_DOWN_S, MAX_WORKER_DOWN_S))
+    await asyncio.sleep(cluster.rng.uniform(MIN_WORKER_DOWNTIME_S, MAX_WORKER_DOWNTIME_S))
     await slot.start(name, is_in_slow_start=True)
     await asyncio.sleep(cluster.rng.uniform(0.0, MAX_PUBLISH_DELAY_S))
     await publish_ready(cluster, slot)
@@ -163,7 +163,7 @@
 
 async def replace_worker(cluster: Cluster, slot: WorkerSlot, _fault: Fault) -> None:
     """Drain a worker, then start another one, with another name, at its address."""
-    await drain_and_replace(cluster, slot, DRAIN_S, new_name=f"{slot.incarnation.name}x")
+    await drain_and_replace(cluster, slot, DRAIN_DURATION_S, new_name=f"{slot.incarnation.name}x")
 
 
 async def hang_worker(_cluster: Cluster, slot: WorkerSlot, fault: Fault) -> None:
@@ -177,7 +177,7 @@
     """Reset all connections to the worker, a few times."""
     for _ in range(RESET_COUNT):
         await slot.forward(reset_connections=True)
-        await asyncio.sleep(BETWEEN_RESETS_S)
+        await asyncio.sleep(RESET_INTERVAL_S)
 
 
 async def corrupt_answers(_cluster: Cluster, slot: WorkerSlot, fault: Fault) -> None:
@@ -198,7 +198,7 @@
 # --- faults of clients
 
 
-async def burst(cluster: Cluster, fault: Fault) -> None:
+async def raise_request_rate(cluster: Cluster, fault: Fault) -> None:
     """Multiply the rate of requests."""
     await cluster.traffic.set_request_rate(cluster.plan.requests_per_s * BURST_FACTOR)
     await asyncio.sleep(fault.duration_s)
@@ -260,8 +260,8 @@
     FaultKind.CONNECTIONS_RESET: WorkerFault(reset_connections),
     FaultKind.ANSWERS_SPOILED: WorkerFault(corrupt_answers),
     FaultKind.WORKER_REFUSES: WorkerFault(refuse_connections),
-    FaultKind.BURST: ClientFault(burst),
+    FaultKind.BURST: ClientFault(raise_request_rate),
     FaultKind.BAD_CLIENTS: ClientFault(add_bad_clients),
-    FaultKind.ENDPOINT_LOGS_OUT: LogFault(take_logs_out),
+    FaultKind.ENDPOINT_LOGS_OUT: LogFault(inject_log_outage),
     FaultKind.SIGNAL_SERIES: RouterFault(send_signal_series),
 }
--- a/soak/figures.py
+++ b/soak/figures.py
@@ -18,7 +18,7 @@
         _count_served(request, history.record.log_outages, figures)
     incarnations = history.record.router_incarnations
     figures["router incarnations"] = len(incarnations)
-    figures["ended by SIGKILL after SIGTERM"] = sum(each.overdue_at is not None for each in incarnations)
+    figures["ended by SIGKILL after SIGTERM"] = sum(each.forced_kill_at is not None for each in incarnations)
     figures["bad clients"] = len(history.bad_clients)
     for router in range(history.record.plan.router_count):
         figures["slow turns"] += sum(SLOW_TURN_TEXT in line for line in history.log_lines(router))
@@ -29,7 +29,7 @@
     figures["requests"] += 1
     figures["attempts"] += len(request.attempts)
     figures["sent again after a close"] += sum(lost.is_retried for lost in request.lost)
-    if request.gone:
+    if request.client_gone:
         figures["clients that left"] += 1
     elif request.answers:
         figures[f"answered {request.answers[0].kind}"] += 1
@@ -37,7 +37,7 @@
 
 def _count_served(request: RequestHistory, outages: Sequence[LogOutage], figures: Counter[str]) -> None:
     """Count what was served of the requests in and outside of outages, of those that clients waited for."""
-    if request.gone or not outages:
+    if request.client_gone or not outages:
         return
     is_in_outage = any(outage.began_at <= request.sent[0].at < outage.ended_at for outage in outages)
     when = "in outages" if is_in_outage else "otherwise"
--- a/soak/history.py
+++ b/soak/history.py
@@ -29,7 +29,7 @@
     request_id: str
     sent: list[RequestSent] = field(default_factory=list)
     answers: list[RequestAnswered] = field(default_factory=list)
-    gone: ClientGone | None = None
+    client_gone: ClientGone | None = None
     lost: list[ConnectionLost] = field(default_factory=list)
     attempts: list[AttemptSeen] = field(default_factory=list)
     worker_answers: list[WorkerAnswerSeen] = field(default_factory=list)
@@ -42,7 +42,7 @@
             case RequestAnswered():
                 self.answers.append(record)
             case ClientGone():
-                self.gone = record
+                self.client_gone = record
             case ConnectionLost():
                 self.lost.append(record)
             case AttemptSeen():
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -16,7 +16,7 @@
         self._cluster = cluster
         self._busy_routers: set[int] = set()
         self._busy_workers: set[int] = set()
-        self._are_logs_out = False
+        self._is_log_outage_active = False
 
     async def inject(self, fault: Fault) -> None:
         """Inject a fault into its targets, except those that are reserved, and wait until it is over."""
@@ -37,14 +37,14 @@
 
     async def _inject_into_logs(self, registered: LogFault, fault: Fault) -> None:
         """Inject a fault of all endpoint logs, unless they have one; reserve the workers that it changes."""
-        if self._are_logs_out:
+        if self._is_log_outage_active:
             return
-        self._are_logs_out = True
+        self._is_log_outage_active = True
         with _reserve(fault.workers, self._busy_workers) as workers:
             await registered.inject(
                 self._cluster, [self._cluster.workers[number] for number in workers], fault
             )
-        self._are_logs_out = False
+        self._is_log_outage_active = False
 
     async def _inject_into_routers(self, registered: RouterFault, fault: Fault, numbers: list[int]) -> None:
         routers = [self._cluster.routers[number] for number in numbers]
--- a/soak/module_process.py
+++ b/soak/module_process.py
@@ -60,12 +60,12 @@
         self._process.stdin.write(msgspec.json.encode(command) + b"\n")
         await self._process.stdin.drain()
 
-    async def finish(self, within_s: float) -> None:
+    async def finish(self, timeout_s: float) -> None:
         """Close its input, and wait until it exits; kill it if it doesn't in time."""
         assert self._process.stdin
         self._process.stdin.close()
         try:
-            await asyncio.wait_for(self._process.wait(), within_s)
+            await asyncio.wait_for(self._process.wait(), timeout_s)
         except TimeoutError:
             self._process.kill()
             await self._process.wait()
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -13,10 +13,10 @@
 WARM_UP_S = 3.0
 COOL_DOWN_S = 2.0
 INJECTION_INTERVAL_S = 3.0
-INJECTION_SPREAD_S = 0.5  # faults that are injected together start within this
+INJECTION_JITTER_S = 0.5  # faults that are injected together start within this
 MAX_SIMULTANEOUS_FAULTS = 3  # injected together; earlier ones may still last
-MIN_FAULT_S = 1.0
-MAX_FAULT_S = 3.0
+MIN_FAULT_DURATION_S = 1.0
+MAX_FAULT_DURATION_S = 3.0
 MAX_ROUTER_SHARE = 0.5  # of all routers, as targets of one fault
 MAX_WORKER_SHARE = 0.34
 MANY_CONNECTIONS_SHARE = 0.3  # of the runs, in which clients hold many connections
@@ -122,8 +122,8 @@
 ) -> Fault:
     return Fault(
         kind=kind,
-        start_s=injection_s + rng.uniform(0.0, INJECTION_SPREAD_S),
-        duration_s=rng.uniform(MIN_FAULT_S, MAX_FAULT_S),
+        start_s=injection_s + rng.uniform(0.0, INJECTION_JITTER_S),
+        duration_s=rng.uniform(MIN_FAULT_DURATION_S, MAX_FAULT_DURATION_S),
         routers=_draw_targets(rng, router_count, MAX_ROUTER_SHARE),
         workers=_draw_targets(rng, worker_count, MAX_WORKER_SHARE),
         intensity=rng.random(),
--- a/soak/ports.py
+++ b/soak/ports.py
@@ -16,7 +16,7 @@
 LISTEN_BACKLOG = 256
 
 
-class PortRange:
+class PortAllocator:
     """Hands out the ports of a range, each once, and none that another run on this machine holds.
 
     A listener starts some time after it got its port, and may stop for a while. To reserve the port until
@@ -27,7 +27,7 @@
         self._ports = iter(ports)
         self._reservations: list[socket.socket] = []
 
-    def take(self) -> int:
+    def allocate(self) -> int:
         """Take a port that nobody listens on; raises NoFreePortError."""
         for port in self._ports:
             if _is_bindable(port) and self._reserve(port):
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -21,7 +21,7 @@
 from function_router.net.codecs import worker_frames as frames
 from soak.commands import ProxyCommand, read_commands
 from soak.frame_tap import FrameTap, TappedFrame
-from soak.ports import PROXY_PORTS, PortRange, listen
+from soak.ports import PROXY_PORTS, PortAllocator, listen
 from soak.records import AttemptSeen, Recorder, StartOrderSeen, WorkerAnswerSeen
 
 READ_BYTES = 65_536
@@ -101,7 +101,7 @@
             [Route(router, worker) for worker in range(worker_count)] for router in range(router_count)
         ]
         self._recorder = recorder
-        self._ports = PortRange(PROXY_PORTS)
+        self._ports = PortAllocator(PROXY_PORTS)
         self._commands: dict[int, ProxyCommand] = {}  # the latest one, by worker slot
 
     @property
@@ -128,7 +128,7 @@
                 await self._listen(route)
 
     async def _listen(self, route: Route) -> None:
-        route.port = route.port or self._ports.take()
+        route.port = route.port or self._ports.allocate()
         route.server = await listen(partial(self._serve, route), route.port)
 
     async def _serve(self, route: Route, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/soak/request_client.py
+++ b/soak/request_client.py
@@ -20,13 +20,15 @@
 CANCEL_SHARE = 0.05
 CLOSE_SHARE = 0.03
 MIN_TIMEOUT_SHARE = 0.5  # of the site's longest timeout
-MAX_LEAVE_ROOT = 0.5  # a client leaves after a share of the timeout, the square of at most this: mostly soon
+MAX_ABANDON_ROOT = (
+    0.5  # a client leaves after a share of the timeout, the square of at most this: mostly soon
+)
 CLOSE_RACE_S = 0.05  # a connection that closes this soon after a request may not have seen it: retried once
-PATIENCE_S = 1.0  # after the timeout, until the client gives up
+ANSWER_GRACE_S = 1.0  # after the timeout, until the client gives up
 MAX_BODY_BYTES = 2_000
 
 
-class Departure(Enum):
+class Abandonment(Enum):
     """How a client leaves its request before the answer."""
 
     NONE = auto()  # it waits for the answer
@@ -95,7 +97,7 @@
         seqid: its number on the connection.
         answer: fails with ConnectionEndedError.
         sent_at: in monotonic seconds.
-        was_alone: whether no other request was pending on the connection.
+        was_only_pending: whether no other request was pending on the connection.
     """
 
     request: GeneratedRequest
@@ -103,7 +105,7 @@
     seqid: int
     answer: asyncio.Future[ClientAnswer]
     sent_at: float
-    was_alone: bool
+    was_only_pending: bool
 
 
 class RequestClient:
@@ -120,85 +122,89 @@
         Returns:
             Whether the client is to send it again, as its connection closed just as it was sent.
         """
-        departure = self._draw_departure()
-        if departure is Departure.CLOSE and not target.may_connect:
-            departure = Departure.NONE  # it would need a connection of its own
-        closes = departure is Departure.CLOSE
+        abandonment = self._draw_abandonment()
+        if abandonment is Abandonment.CLOSE and not target.may_connect:
+            abandonment = Abandonment.NONE  # it would need a connection of its own
+        closes_connection = abandonment is Abandonment.CLOSE
         is_new = is_retry or self._rng.random() < NEW_CONNECTION_SHARE
         try:
             connection = await self._connections.acquire(
-                target.port, is_new=is_new, is_private=closes, may_connect=target.may_connect
+                target.port, is_new=is_new, is_private=closes_connection, may_connect=target.may_connect
             )
         except OSError:
             return False  # never sent
-        sent = self._begin(request, target.router, connection)
+        sent = self._write_request(request, target.router, connection)
         try:
-            await self._await_end(sent, departure)
+            await self._await_completion(sent, abandonment)
         except ConnectionEndedError as error:
-            return self._record_lost(sent, error, is_retry=is_retry)
+            return self._record_lost_connection(sent, error, is_retry=is_retry)
         finally:
             connection.pending.pop(sent.seqid, None)
-            if closes:
+            if closes_connection:
                 connection.close()
         self._record_surplus(sent)
         return False
 
-    def _record_lost(self, sent: SentRequest, error: ConnectionEndedError, *, is_retry: bool) -> bool:
+    def _record_lost_connection(
+        self, sent: SentRequest, error: ConnectionEndedError, *, is_retry: bool
+    ) -> bool:
         """Record that a connection has ended before the answer; whether the client sends again."""
-        should_retry = sent.was_alone and error.at - sent.sent_at <= CLOSE_RACE_S and not is_retry
+        should_retry = sent.was_only_pending and error.at - sent.sent_at <= CLOSE_RACE_S and not is_retry
         self._recorder.add(
             ConnectionLost(sent.request.request_id, error.at, error.cause, is_retried=should_retry)
         )
         return should_retry
 
-    def _draw_departure(self) -> Departure:
+    def _draw_abandonment(self) -> Abandonment:
         if self._rng.random() < CLOSE_SHARE:
-            return Departure.CLOSE
-        return Departure.CANCEL if self._rng.random() < CANCEL_SHARE else Departure.NONE
+            return Abandonment.CLOSE
+        return Abandonment.CANCEL if self._rng.random() < CANCEL_SHARE else Abandonment.NONE
 
-    def _begin(self, request: GeneratedRequest, router: int, connection: ThriftConnection) -> SentRequest:
+    def _write_request(
+        self, request: GeneratedRequest, router: int, connection: ThriftConnection
+    ) -> SentRequest:
         """Send a request on a connection."""
-        seqid = connection.take_seqid()
+        seqid = connection.next_seqid()
         answer = connection.expect_answer(seqid)
-        was_alone = len(connection.pending) == 1
+        was_only_pending = len(connection.pending) == 1
         body = self._rng.randbytes(self._rng.randrange(MAX_BODY_BYTES))
         connection.send(encode_request(seqid, request.fields, body))
         sent_at = time.monotonic()
         self._recorder.add(
             RequestSent(request.request_id, router, request.class_name, sent_at, request.timeout_s)
         )
-        return SentRequest(request, connection, seqid, answer, sent_at, was_alone=was_alone)
+        return SentRequest(request, connection, seqid, answer, sent_at, was_only_pending=was_only_pending)
 
-    async def _await_end(self, sent: SentRequest, departure: Departure) -> None:
+    async def _await_completion(self, sent: SentRequest, abandonment: Abandonment) -> None:
         """Wait for the answer; a client that departs waits only for a part of the timeout."""
-        if departure is not Departure.NONE:
-            leave_after_s = sent.request.timeout_s * self._rng.uniform(0.0, MAX_LEAVE_ROOT) ** 2
-            done, _ = await asyncio.wait([sent.answer], timeout=leave_after_s)
+        if abandonment is not Abandonment.NONE:
+            abandon_after_s = sent.request.timeout_s * self._rng.uniform(0.0, MAX_ABANDON_ROOT) ** 2
+            done, _ = await asyncio.wait([sent.answer], timeout=abandon_after_s)
             if not done:
-                await self._leave(sent, departure)
+                await self._abandon(sent, abandonment)
                 return
         await self._await_answer(sent)
 
     async def _await_answer(self, sent: SentRequest) -> None:
         request = sent.request
         try:
-            answer = await asyncio.wait_for(sent.answer, request.timeout_s + PATIENCE_S)
+            answer = await asyncio.wait_for(sent.answer, request.timeout_s + ANSWER_GRACE_S)
         except TimeoutError:
             return
         expected_body = served_body(bytes.fromhex(request.request_id))
         is_genuine = answer.kind is not AnswerKind.SERVED or answer.body == expected_body
         self._recorder.add(RequestAnswered(request.request_id, answer.at, answer.kind, is_genuine=is_genuine))
 
-    async def _leave(self, sent: SentRequest, departure: Departure) -> None:
-        if departure is Departure.CLOSE:
+    async def _abandon(self, sent: SentRequest, abandonment: Abandonment) -> None:
+        if abandonment is Abandonment.CLOSE:
             sent.connection.pending.pop(sent.seqid, None)
             sent.connection.close()
         else:
             sent.connection.send(encode_cancel(sent.seqid))
         self._recorder.add(ClientGone(sent.request.request_id, time.monotonic()))
-        if departure is Departure.CANCEL:
+        if abandonment is Abandonment.CANCEL:
             # An answer that crossed the cancellation on the wire is not surplus.
-            await asyncio.wait([sent.answer], timeout=PATIENCE_S)
+            await asyncio.wait([sent.answer], timeout=ANSWER_GRACE_S)
 
     def _record_surplus(self, sent: SentRequest) -> None:
         """Attribute surplus answers of a connection to this request, as they name none."""
--- a/soak/request_rules.py
+++ b/soak/request_rules.py
@@ -7,13 +7,13 @@
 from soak import site
 from soak.history import RequestHistory
 from soak.records import AnswerKind, AttemptSeen, RequestSent
-from soak.rules import MEASURING_SLACK_S, Rule, Violation
+from soak.rules import MEASUREMENT_SLACK_S, Rule, Violation
 from soak.run_record import RouterIncarnation
 
-MAX_LATE_ANSWER_S = 0.5  # after the request's timeout
+MAX_ANSWER_LATENESS_S = 0.5  # after the request's timeout
 MAX_AFTER_CLIENT_GONE_S = 0.1  # between a client's leaving and the last attempt for it
 TIMEOUT_SLACK_S = 0.15  # by which the timeout sent to a worker may exceed what the client has left
-KILL_NOTICE_S = 1.0  # after a kill, during which clients still send requests to the router
+MAX_KILL_DETECTION_S = 1.0  # after a kill, during which clients still send requests to the router
 KILL_MARGIN_S = 0.01
 
 
@@ -27,42 +27,42 @@
 
 def _check_answers(request: RequestHistory, routers: Sequence[RouterIncarnation]) -> Iterator[Violation]:
     """One genuine answer in time, unless the client has gone."""
-    if request.gone:
+    if request.client_gone:
         return
     sent = request.sent[-1]
-    where = f"{request.request_id} {sent.class_name} at router {sent.router}, sent at {sent.at:.3f}"
+    context = f"{request.request_id} {sent.class_name} at router {sent.router}, sent at {sent.at:.3f}"
     if any(not answer.is_genuine for answer in request.answers) or len(request.answers) > 1:
         kinds = [answer.kind.value for answer in request.answers]
-        yield Violation(Rule.DUPLICATE, f"{where}: {kinds}")
+        yield Violation(Rule.DUPLICATE, f"{context}: {kinds}")
     if not request.answers:
-        if not _was_killed(sent, routers):
+        if not _was_router_killed(sent, routers):
             causes = [f"{lost.cause} at +{lost.at - sent.at:.3f}" for lost in request.lost]
-            text = f"{where}, timeout {sent.timeout_s:.2f}: {causes or 'no answer'}"
+            text = f"{context}, timeout {sent.timeout_s:.2f}: {causes or 'no answer'}"
             yield Violation(Rule.LOST, text)
         return
     answer = request.answers[0]
     late_s = answer.at - sent.at - sent.timeout_s
-    if late_s > MAX_LATE_ANSWER_S + MEASURING_SLACK_S:
-        yield Violation(Rule.LOST, f"{where}: {answer.kind} {late_s:.3f} s late")
-    yield from _check_rejection(where, request)
+    if late_s > MAX_ANSWER_LATENESS_S + MEASUREMENT_SLACK_S:
+        yield Violation(Rule.LOST, f"{context}: {answer.kind} {late_s:.3f} s late")
+    yield from _check_rejection(context, request)
 
 
-def _check_rejection(where: str, request: RequestHistory) -> Iterator[Violation]:
+def _check_rejection(context: str, request: RequestHistory) -> Iterator[Violation]:
     """No rejection, which invites the client to try again, of what may have run and may run only once."""
     retry_safety = site.RETRY_SAFETY_BY_CLASS[request.sent[0].class_name]
     is_rejected = request.answers[0].kind is AnswerKind.THROTTLED
     may_have_run = request.attempts_that_may_have_run
     if is_rejected and retry_safety is RetrySafety.AT_MOST_ONCE and may_have_run:
-        yield Violation(Rule.REJECTED_AFTER_RUN, f"{where}: attempt at {may_have_run[0].at:.3f}")
+        yield Violation(Rule.REJECTED_AFTER_RUN, f"{context}: attempt at {may_have_run[0].at:.3f}")
 
 
-def _was_killed(sent: RequestSent, routers: Sequence[RouterIncarnation]) -> bool:
+def _was_router_killed(sent: RequestSent, routers: Sequence[RouterIncarnation]) -> bool:
     """Whether its router was killed outright while the request was pending, as planned."""
     return any(
         router.router == sent.router
         and router.killed_at is not None
         and router.killed_at - KILL_MARGIN_S <= sent.at + sent.timeout_s
-        and (router.exited_at or math.inf) + KILL_NOTICE_S >= sent.at
+        and (router.exited_at or math.inf) + MAX_KILL_DETECTION_S >= sent.at
         for router in routers
     )
 
@@ -70,18 +70,18 @@
 def _check_attempt(request: RequestHistory, attempt: AttemptSeen) -> Iterator[Violation]:
     """No attempt for a client that has gone, and none with more time than the client has left."""
     sent = request.sent[-1]
-    where = (
+    context = (
         f"{request.request_id}: router {attempt.router} to worker {attempt.worker} at "
         f"{attempt.first_byte_at:.3f}"
     )
-    if request.gone:
-        late_s = attempt.first_byte_at - request.gone.at
-        if late_s > MAX_AFTER_CLIENT_GONE_S + MEASURING_SLACK_S:
-            yield Violation(Rule.CLIENT_GONE, f"{where}, {late_s:.3f} s after its client left")
+    if request.client_gone:
+        late_s = attempt.first_byte_at - request.client_gone.at
+        if late_s > MAX_AFTER_CLIENT_GONE_S + MEASUREMENT_SLACK_S:
+            yield Violation(Rule.CLIENT_GONE, f"{context}, {late_s:.3f} s after its client left")
     left_s = sent.at + sent.timeout_s - attempt.first_byte_at
     excess_s = attempt.timeout_ms / 1000 - left_s
-    if excess_s > TIMEOUT_SLACK_S + MEASURING_SLACK_S:
-        yield Violation(Rule.TIMEOUT, f"{where}: {excess_s:.3f} s too much")
+    if excess_s > TIMEOUT_SLACK_S + MEASUREMENT_SLACK_S:
+        yield Violation(Rule.TIMEOUT, f"{context}: {excess_s:.3f} s too much")
 
 
 def _check_retries(request: RequestHistory) -> Iterator[Violation]:
@@ -96,7 +96,7 @@
     attempts = sorted(request.attempts, key=lambda attempt: attempt.at)
     for attempt in attempts[attempts.index(first) + 1 :]:
         after_s = attempt.at - first.at
-        is_in_window = after_s <= site.IDEMPOTENCY_WINDOW_MS / 1000 + MEASURING_SLACK_S
+        is_in_window = after_s <= site.IDEMPOTENCY_WINDOW_MS / 1000 + MEASUREMENT_SLACK_S
         if retry_safety is RetrySafety.AT_MOST_ONCE or not is_in_window:
             text = f"{request.request_id} {retry_safety.value}: again after {after_s:.3f} s"
             yield Violation(Rule.RETRY, text)
--- a/soak/router_config.py
+++ b/soak/router_config.py
@@ -42,7 +42,7 @@
 }
 SLOW_START = {
     "cold": site.SLOW_START_S * 1_000,
-    "cold_share": site.SLOW_START_INITIAL,
+    "cold_share": site.SLOW_START_INITIAL_SHARE,
     "fall": site.OVERLOAD_WINDOW_S * 1_000,
     "fall_multiple": site.OVERLOAD_MULTIPLE,
 }
--- a/soak/router_rules.py
+++ b/soak/router_rules.py
@@ -4,7 +4,7 @@
 
 from soak.history import RunHistory
 from soak.records import BadClientSeen
-from soak.rules import MEASURING_SLACK_S, Rule, Violation
+from soak.rules import MEASUREMENT_SLACK_S, Rule, Violation
 from soak.run_record import RouterIncarnation
 
 MAX_START_S = 10.0
@@ -30,18 +30,18 @@
 def _check_incarnation(incarnation: RouterIncarnation) -> Iterator[Violation]:
     """A router is ready in time, and exits only when asked to, with code 0 after SIGTERM."""
     name = f"router {incarnation.router}, started at {incarnation.started_at:.1f}"
-    was_asked = incarnation.term_at is not None or incarnation.killed_at is not None
-    if incarnation.exited_at is not None and (not was_asked or _has_ended_badly(incarnation)):
+    was_requested = incarnation.sigterm_at is not None or incarnation.killed_at is not None
+    if incarnation.exited_at is not None and (not was_requested or _has_failed(incarnation)):
         yield Violation(Rule.CRASH, f"{name}: exit code {incarnation.exit_code}")
     elif incarnation.ready_at is None or incarnation.ready_at - incarnation.started_at > MAX_START_S:
         yield Violation(Rule.NOT_READY, name)
 
 
-def _has_ended_badly(incarnation: RouterIncarnation) -> bool:
-    was_killed = incarnation.killed_at is not None or incarnation.overdue_at is not None
+def _has_failed(incarnation: RouterIncarnation) -> bool:
+    was_killed = incarnation.killed_at is not None or incarnation.forced_kill_at is not None
     return not was_killed and incarnation.exit_code != 0
 
 
 def _check_bad_client(seen: BadClientSeen) -> Iterator[Violation]:
-    if seen.took_s > MAX_BAD_CLIENT_S + MEASURING_SLACK_S or not seen.is_settled:
+    if seen.took_s > MAX_BAD_CLIENT_S + MEASUREMENT_SLACK_S or not seen.is_settled:
         yield Violation(Rule.BAD_CLIENT, f"{seen.kind} at router {seen.router}: {seen.took_s:.2f} s")
--- a/soak/router_slot.py
+++ b/soak/router_slot.py
@@ -72,16 +72,16 @@
             limit=LOG_READ_BYTES,
         )
         self._log_tasks.append(asyncio.create_task(self._copy_log(self._process)))
-        await self._wait_ready()
+        await self._wait_until_ready()
 
     def reload(self) -> None:
         """Replace the configuration file, and have the process read it again."""
         self._write_config()
-        self._signal(signal.SIGHUP)
+        self._send_signal(signal.SIGHUP)
 
-    def repeat_term(self) -> None:
+    def repeat_sigterm(self) -> None:
         """Send SIGTERM to a process that drains already."""
-        self._signal(signal.SIGTERM)
+        self._send_signal(signal.SIGTERM)
 
     def write_shim_control(self) -> None:
         """Have the shim follow `shim_control`."""
@@ -89,25 +89,25 @@
 
     def pause(self) -> None:
         """Suspend the process with SIGSTOP."""
-        self._signal(signal.SIGSTOP)
+        self._send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
         """Resume the process with SIGCONT."""
-        self._signal(signal.SIGCONT)
+        self._send_signal(signal.SIGCONT)
 
     async def kill(self) -> None:
         """Send a planned SIGKILL, and wait for the end of the process."""
         self.incarnation.killed_at = time.monotonic()
-        self._signal(signal.SIGKILL)
+        self._send_signal(signal.SIGKILL)
         await self._record_exit(EXIT_TIMEOUT_S)
 
     async def terminate(self) -> None:
         """Send SIGTERM, then SIGKILL if it still runs after the longest timeout of a request and a margin."""
-        self.incarnation.term_at = time.monotonic()
-        self._signal(signal.SIGTERM)
+        self.incarnation.sigterm_at = time.monotonic()
+        self._send_signal(signal.SIGTERM)
         if not await self._record_exit(min(site.MAX_TIMEOUT_MS / 1000, MAX_KILL_TIMEOUT_S) + KILL_GRACE_S):
-            self.incarnation.overdue_at = time.monotonic()
-            self._signal(signal.SIGKILL)
+            self.incarnation.forced_kill_at = time.monotonic()
+            self._send_signal(signal.SIGKILL)
             await self._record_exit(EXIT_TIMEOUT_S)
 
     def record_unplanned_exit(self) -> None:
@@ -119,19 +119,19 @@
     async def clean_up(self) -> None:
         """Kill the process if it still runs, and wait until it has ended."""
         self.is_log_read = True
-        self._signal(signal.SIGKILL)
+        self._send_signal(signal.SIGKILL)
         if self._process:
             await self._process.wait()
 
-    def _signal(self, number: int) -> None:
+    def _send_signal(self, number: int) -> None:
         if self._process and self._process.returncode is None:
             self._process.send_signal(number)
 
-    async def _record_exit(self, within_s: float) -> bool:
+    async def _record_exit(self, timeout_s: float) -> bool:
         """Wait for the end of the process; False if it takes longer."""
         assert self._process
         try:
-            self.incarnation.exit_code = await asyncio.wait_for(self._process.wait(), within_s)
+            self.incarnation.exit_code = await asyncio.wait_for(self._process.wait(), timeout_s)
         except TimeoutError:
             return False
         self.incarnation.exited_at = time.monotonic()
@@ -163,7 +163,7 @@
                 file.write(data)
                 file.flush()
 
-    async def _wait_ready(self) -> None:
+    async def _wait_until_ready(self) -> None:
         end = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < end and self._process and self._process.returncode is None:
             if await is_router_ready(self.config.port):
--- a/soak/rules.py
+++ b/soak/rules.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-MEASURING_SLACK_S = 0.05  # for the delay of the observers; on top of the slack that a rule grants
+MEASUREMENT_SLACK_S = 0.05  # for the delay of the observers; on top of the slack that a rule grants
 MAX_EXAMPLES = 3  # of each rule in a report
 
 
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class Verdict:
+class CheckResult:
     """How often each rule was broken, with examples, and how much was observed."""
 
     violations: Counter[Rule] = field(default_factory=Counter)
--- a/soak/run.py
+++ b/soak/run.py
@@ -8,7 +8,7 @@
 from soak.plan import Plan
 from soak.run_folder import RunFolder
 from soak.run_record import RunRecord
-from soak.shim import build
+from soak.shim import build_shim
 
 
 async def run_plan(plan: Plan, folder: RunFolder, *, uses_shim: bool) -> RunRecord:
@@ -23,7 +23,7 @@
         subprocess.CalledProcessError: The shim could not be compiled.
         SoakTestError: A process could not be started.
     """
-    shim = build(folder.path) if uses_shim else None
+    shim = build_shim(folder.path) if uses_shim else None
     async with Cluster(plan, folder, shim) as cluster:
         await _inject_on_schedule(plan, FaultInjector(cluster))
         await cluster.drain()
--- a/soak/run_record.py
+++ b/soak/run_record.py
@@ -16,9 +16,9 @@
     router: int
     started_at: float
     ready_at: float | None = None
-    term_at: float | None = None  # SIGTERM was sent
+    sigterm_at: float | None = None  # SIGTERM was sent
     killed_at: float | None = None  # by a planned SIGKILL
-    overdue_at: float | None = None  # by a SIGKILL, as it had not ended by itself after SIGTERM
+    forced_kill_at: float | None = None  # by a SIGKILL, as it had not ended by itself after SIGTERM
     exited_at: float | None = None
     exit_code: int | None = None
 
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -41,7 +41,7 @@
             file.write(data)
 
 
-def build(folder: Path) -> Path:
+def build_shim(folder: Path) -> Path:
     """Compile the shim with the machine's C compiler; returns the library's path.
 
     Raises:
--- a/soak/site.py
+++ b/soak/site.py
@@ -20,12 +20,12 @@
 
 WORKER_CONCURRENCY = 2  # requests that an instance serves at once
 WORKER_CORES = 2
-MEAN_RUN_S = 0.04
-START_S = 0.25  # a cold start
-WORKER_CAPACITY_RPS = WORKER_CORES / MEAN_RUN_S
+MEAN_RUN_TIME_S = 0.04
+COLD_START_S = 0.25  # a cold start
+WORKER_CAPACITY_RPS = WORKER_CORES / MEAN_RUN_TIME_S
 
 SLOW_START_S = 5.0
-SLOW_START_INITIAL = 0.1  # the share of its capacity that a worker may get at its start
+SLOW_START_INITIAL_SHARE = 0.1  # the share of its capacity that a worker may get at its start
 OVERLOAD_WINDOW_S = 1.0
 OVERLOAD_MULTIPLE = 1.5  # of the slow start share of its capacity; more is an overload
 
--- a/soak/thrift_client.py
+++ b/soak/thrift_client.py
@@ -48,7 +48,7 @@
         """Connect to a router on loopback; raises OSError."""
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
-    def take_seqid(self) -> int:
+    def next_seqid(self) -> int:
         """The next sequence number."""
         self._next_seqid += 1
         return self._next_seqid - 1
@@ -79,14 +79,14 @@
         try:
             while data := await self._reader.read(READ_BYTES):
                 buffer += data
-                self._take_answers(buffer)
+                self._consume_answers(buffer)
         except OSError as error:
             self._end(type(error).__name__)
         else:
             self._end("end of stream")
         self._writer.close()
 
-    def _take_answers(self, buffer: bytearray) -> None:
+    def _consume_answers(self, buffer: bytearray) -> None:
         """Remove complete messages from the buffer, and resolve the futures of their requests."""
         while len(buffer) >= _SIZE.size:
             (size,) = _SIZE.unpack_from(buffer)
--- a/soak/worker.py
+++ b/soak/worker.py
@@ -14,7 +14,7 @@
 from soak import site
 
 READ_BYTES = 65_536
-MAX_QUEUE = 24  # requests of one function that wait for an instance; more are rejected
+MAX_QUEUED_REQUESTS = 24  # requests of one function that wait for an instance; more are rejected
 LISTEN_BACKLOG = 512
 MIN_START_FACTOR = 0.8  # of the mean time of a cold start
 MAX_START_FACTOR = 1.2
@@ -43,15 +43,15 @@
             return frames.REUSED
         return frames.JOINED_START if self._starting else frames.STARTED
 
-    async def ensure(self, count: int) -> None:
+    async def ensure_count(self, count: int) -> None:
         """Start instances, one after the other, until there are `count`."""
         while self.count < count:
             if self._starting is None or self._starting.done():
-                self._starting = asyncio.create_task(self._start_one())
+                self._starting = asyncio.create_task(self._start_instance())
             await asyncio.shield(self._starting)
 
-    async def _start_one(self) -> None:
-        await asyncio.sleep(site.START_S * random.uniform(MIN_START_FACTOR, MAX_START_FACTOR))
+    async def _start_instance(self) -> None:
+        await asyncio.sleep(site.COLD_START_S * random.uniform(MIN_START_FACTOR, MAX_START_FACTOR))
         async with self._changed:
             self.count += 1
             self._changed.notify_all()
@@ -66,7 +66,7 @@
         finally:
             self.waiting -= 1
         try:
-            await asyncio.sleep(random.expovariate(1 / site.MEAN_RUN_S))
+            await asyncio.sleep(random.expovariate(1 / site.MEAN_RUN_TIME_S))
         finally:
             async with self._changed:
                 self.running -= 1
@@ -109,37 +109,37 @@
                 task.cancel()
             return
         if frame.code == frames.CHECK_HEALTH:
-            self._answer(frame, writer, frames.DRAINING if self._is_draining else frames.READY, {})
+            self._send_answer(frame, writer, frames.DRAINING if self._is_draining else frames.READY, {})
             return
-        serve = self._run if frame.code == frames.RUN else self._ensure
+        serve = self._run_request if frame.code == frames.RUN else self._ensure_instances
         tasks[frame.exchange_id] = asyncio.create_task(serve(frame, writer))
 
-    async def _run(self, frame: frames.Frame, writer: asyncio.StreamWriter) -> None:
+    async def _run_request(self, frame: frames.Frame, writer: asyncio.StreamWriter) -> None:
         function = self._functions.setdefault(frame.fields[frames.FUNCTION_FIELD], FunctionInstances())
         in_flight = function.running + function.waiting
-        if self._is_draining or function.waiting >= MAX_QUEUE:
-            self._answer(frame, writer, frames.QUEUE_FULL, {frames.IN_FLIGHT_FIELD: in_flight})
+        if self._is_draining or function.waiting >= MAX_QUEUED_REQUESTS:
+            self._send_answer(frame, writer, frames.QUEUE_FULL, {frames.IN_FLIGHT_FIELD: in_flight})
             return
         start_kind = function.start_kind
         if not function.count:
-            await function.ensure(1)
+            await function.ensure_count(1)
         await function.run()
         fields: dict[str, int | str] = {
             frames.IN_FLIGHT_FIELD: in_flight,
             frames.START_KIND_FIELD: start_kind,
         }
-        self._answer(frame, writer, frames.OK, fields, served_body(frame.exchange_id))
+        self._send_answer(frame, writer, frames.OK, fields, served_body(frame.exchange_id))
 
-    async def _ensure(self, frame: frames.Frame, writer: asyncio.StreamWriter) -> None:
+    async def _ensure_instances(self, frame: frames.Frame, writer: asyncio.StreamWriter) -> None:
         function = self._functions.setdefault(frame.fields[frames.FUNCTION_FIELD], FunctionInstances())
         instances = int(frame.fields[frames.INSTANCES_FIELD])
         is_rejected = self._is_draining and instances > 0
         if not is_rejected:
-            await function.ensure(instances)
+            await function.ensure_count(instances)
         code = frames.QUEUE_FULL if is_rejected else frames.OK
-        self._answer(frame, writer, code, {frames.INSTANCES_FIELD: function.count})
+        self._send_answer(frame, writer, code, {frames.INSTANCES_FIELD: function.count})
 
-    def _answer(
+    def _send_answer(
         self,
         frame: frames.Frame,
         writer: asyncio.StreamWriter,
--- a/soak/worker_rules.py
+++ b/soak/worker_rules.py
@@ -7,7 +7,7 @@
 from soak import site
 from soak.history import RunHistory
 from soak.records import AttemptSeen, StartOrderSeen
-from soak.rules import MEASURING_SLACK_S, Rule, Violation
+from soak.rules import MEASUREMENT_SLACK_S, Rule, Violation
 from soak.run_record import RouterIncarnation, WorkerIncarnation
 
 DRAIN_GRACE_S = 1.0 + 0.05  # after the notification of a drain
@@ -48,7 +48,7 @@
 ) -> Iterator[Violation]:
     for at, router in _new_work(history, incarnation.worker):
         notified_at = incarnation.drain_notified_at[router]
-        if notified_at + DRAIN_GRACE_S + MEASURING_SLACK_S < at < replaced_at:
+        if notified_at + DRAIN_GRACE_S + MEASUREMENT_SLACK_S < at < replaced_at:
             text = f"router {router} to {incarnation.name}, {at - notified_at:.3f} s after it was notified"
             yield Violation(Rule.DRAIN, text)
 
@@ -85,7 +85,9 @@
 
 def slow_start_limit(age_s: float) -> float:
     """The most requests that a worker of this age may get in a window, including sampling noise."""
-    share = min(1.0, site.SLOW_START_INITIAL + (1 - site.SLOW_START_INITIAL) * age_s / site.SLOW_START_S)
+    share = min(
+        1.0, site.SLOW_START_INITIAL_SHARE + (1 - site.SLOW_START_INITIAL_SHARE) * age_s / site.SLOW_START_S
+    )
     budget = site.OVERLOAD_MULTIPLE * share * site.WORKER_CAPACITY_RPS * site.OVERLOAD_WINDOW_S
     deviations = SMALL_BUDGET_DEVIATIONS if budget < SMALL_BUDGET else LARGE_BUDGET_DEVIATIONS
     return budget + deviations * math.sqrt(budget) + deviations
--- a/tests/helpers/faulty_endpoint_log.py
+++ b/tests/helpers/faulty_endpoint_log.py
@@ -4,7 +4,7 @@
 import time
 
 from helpers.fake_endpoint_log import FakeEndpointLog
-from soak.endpoint_log import HEARTBEAT, HEARTBEAT_S, SEQUENCES_AHEAD, TRICKLE_S, LogFailure
+from soak.endpoint_log import HEARTBEAT, HEARTBEAT_S, SEQUENCES_AHEAD, TRICKLE_INTERVAL_S, LogFailure
 
 OLD_SEQUENCE = 0
 
@@ -52,7 +52,7 @@
         if now_s < self._next_at_s.get(connection, 0.0) or self.fault is LogFailure.IS_SILENT:
             return
         is_trickle = self.fault is LogFailure.TRICKLES
-        self._next_at_s[connection] = now_s + (TRICKLE_S if is_trickle else HEARTBEAT_S)
+        self._next_at_s[connection] = now_s + (TRICKLE_INTERVAL_S if is_trickle else HEARTBEAT_S)
         try:
             connection.sock.sendall(b" " if is_trickle else HEARTBEAT % self._announced_sequence())
         except OSError:
--- a/tests/soak_test/test_checker.py
+++ b/tests/soak_test/test_checker.py
@@ -169,7 +169,7 @@
     [
         (RouterIncarnation(ROUTER, 90.0, ready_at=91.0, exited_at=95.0, exit_code=1), Rule.CRASH),
         (
-            RouterIncarnation(ROUTER, 90.0, ready_at=91.0, term_at=94.0, exited_at=95.0, exit_code=1),
+            RouterIncarnation(ROUTER, 90.0, ready_at=91.0, sigterm_at=94.0, exited_at=95.0, exit_code=1),
             Rule.CRASH,
         ),
         (RouterIncarnation(ROUTER, 90.0, ready_at=101.0), Rule.NOT_READY),
@@ -183,7 +183,7 @@
 
 def test_exit_after_sigterm_and_an_overdue_sigkill_is_no_crash(check):
     overdue = RouterIncarnation(
-        ROUTER, 90.0, ready_at=91.0, term_at=94.0, overdue_at=97.0, exited_at=97.1, exit_code=-9
+        ROUTER, 90.0, ready_at=91.0, sigterm_at=94.0, forced_kill_at=97.0, exited_at=97.1, exit_code=-9
     )
 
     assert check(incarnation=overdue) == set()
--- a/tests/soak_test/test_command_line.py
+++ b/tests/soak_test/test_command_line.py
@@ -6,10 +6,10 @@
 
 from soak import __main__ as command_line
 from soak.plan import FaultKind
-from soak.rules import Rule, Verdict, Violation
+from soak.rules import CheckResult, Rule, Violation
 
 
-class StubRuns:
+class FakeRuns:
     """Stands in for runs: keeps their plans and folders, and breaks a rule on some seeds."""
 
     def __init__(self):
@@ -19,22 +19,22 @@
         self.broken_seeds = set()
 
     def run(self, plan, folder, *, uses_shim):
-        """Keep what would run, and return a verdict."""
+        """Keep what would run, and return a result."""
         folder.path.mkdir(parents=True)
         self.plans.append(plan)
         self.folders.append(folder.path)
         self.uses_shim.append(uses_shim)
-        verdict = Verdict()
-        verdict.figures["requests"] = 7
+        check_result = CheckResult()
+        check_result.figures["requests"] = 7
         if plan.seed in self.broken_seeds:
-            verdict.add([Violation(Rule.LOST, f"example {number}") for number in range(5)])
-        return verdict
+            check_result.add([Violation(Rule.LOST, f"example {number}") for number in range(5)])
+        return check_result
 
 
 @pytest.fixture
 def runs(monkeypatch):
     """The runs that the command line starts."""
-    stub = StubRuns()
+    stub = FakeRuns()
     monkeypatch.setattr(command_line, "_run", stub.run)
     return stub
 
--- a/tests/soak_test/test_endpoint_log.py
+++ b/tests/soak_test/test_endpoint_log.py
@@ -10,11 +10,11 @@
 from soak import endpoint_log
 from soak.endpoint_events import Endpoint, EndpointEvent, EndpointPhase
 from soak.endpoint_log import EndpointLogServer, LogFailure
-from soak.ports import PortRange
+from soak.ports import PortAllocator
 
 PORTS = range(31_900, 32_000)  # the last ones of the range, which runs reach last
 WORKER_PORTS = [20_000]
-PATIENCE_S = 5.0
+READ_TIMEOUT_S = 5.0
 SILENCE_S = 0.2
 REFUSAL_S = 1.0  # longer than a busy machine takes to try a connection
 
@@ -34,7 +34,7 @@
 
     async def read_line(self):
         """The next line, decoded: an event, or a sequence number; None at the end of the connection."""
-        line = await asyncio.wait_for(self._reader.readline(), PATIENCE_S)
+        line = await asyncio.wait_for(self._reader.readline(), READ_TIMEOUT_S)
         return msgspec.json.decode(line) if line else None
 
     async def read_sequences(self, count):
@@ -47,7 +47,7 @@
         self._writer.close()
 
 
-class LogHarness:
+class EndpointLogHarness:
     """A log with some events, and connections to it."""
 
     def __init__(self, server, events):
@@ -70,11 +70,11 @@
 
     def run(use):
         async def run_in_loop():
-            ports = PortRange(PORTS)
+            ports = PortAllocator(PORTS)
             cleanups.callback(ports.close)
             events = [event(1), event(2)]
             server = EndpointLogServer(events, lambda each: each.to_wire(WORKER_PORTS), ports)
-            harness = LogHarness(server, events)
+            harness = EndpointLogHarness(server, events)
             async with harness.resources:
                 await server.start()
                 harness.resources.push_async_callback(server.close)
--- a/tests/soak_test/test_module_process.py
+++ b/tests/soak_test/test_module_process.py
@@ -8,7 +8,7 @@
 from soak.module_process import ModuleProcess
 
 SILENT_MODULE = "soak.errors"  # runs to its end without a line of output
-FINISH_S = 60.0  # far longer than a busy machine takes
+FINISH_TIMEOUT_S = 60.0  # far longer than a busy machine takes
 
 
 def test_process_that_ends_without_a_line_is_an_error():
@@ -42,7 +42,7 @@
     async def start_and_finish():
         process = await ModuleProcess.start("soak.clients", "1", "1", str(tmp_path / "clients.jsonl"))
         try:
-            await asyncio.wait_for(process.finish(FINISH_S), FINISH_S / 2)
+            await asyncio.wait_for(process.finish(FINISH_TIMEOUT_S), FINISH_TIMEOUT_S / 2)
         finally:
             await process.clean_up()
 
--- a/tests/soak_test/test_ports.py
+++ b/tests/soak_test/test_ports.py
@@ -5,7 +5,7 @@
 import pytest
 
 from soak.errors import NoFreePortError
-from soak.ports import PortRange
+from soak.ports import PortAllocator
 
 
 @pytest.fixture
@@ -17,42 +17,42 @@
 
 
 @pytest.fixture
-def make_range(cleanups, free_port):
+def make_allocator(cleanups, free_port):
     """Make port ranges over the one free port; all are closed at the end."""
 
     def make():
-        ports = PortRange(range(free_port, free_port + 1))
+        ports = PortAllocator(range(free_port, free_port + 1))
         cleanups.callback(ports.close)
         return ports
 
     return make
 
 
-def test_port_is_handed_out_once(make_range, free_port):
-    ports = make_range()
+def test_port_is_handed_out_once(make_allocator, free_port):
+    ports = make_allocator()
 
-    taken = ports.take()
+    taken = ports.allocate()
 
     assert taken == free_port
     with pytest.raises(NoFreePortError):
-        ports.take()
+        ports.allocate()
 
 
-def test_port_of_another_run_is_not_handed_out_before_it_listens(make_range):
-    make_range().take()
+def test_port_of_another_run_is_not_handed_out_before_it_listens(make_allocator):
+    make_allocator().allocate()
 
     with pytest.raises(NoFreePortError):
-        make_range().take()
+        make_allocator().allocate()
 
 
-def test_port_of_a_run_that_has_ended_is_free_again(make_range, free_port):
-    ended = make_range()
-    ended.take()
+def test_port_of_a_run_that_has_ended_is_free_again(make_allocator, free_port):
+    ended = make_allocator()
+    ended.allocate()
     ended.close()
 
-    assert make_range().take() == free_port
+    assert make_allocator().allocate() == free_port
 
 
-def test_port_on_which_somebody_listens_is_not_handed_out(make_range, free_port):
+def test_port_on_which_somebody_listens_is_not_handed_out(make_allocator, free_port):
     with socket.create_server(("127.0.0.1", free_port)), pytest.raises(NoFreePortError):
-        make_range().take()
+        make_allocator().allocate()
--- a/tests/soak_test/test_proxy.py
+++ b/tests/soak_test/test_proxy.py
@@ -16,10 +16,10 @@
 RUN = frames.encode_run(EXCHANGE_ID, "view", "f", 500.0, "", b"body")
 START_ORDER = frames.encode_ensure_instances(EXCHANGE_ID, "f", 2)
 ANSWER = frames.encode(frames.OK, EXCHANGE_ID, "", b"answer", frames.FROM_WORKER)
-PATIENCE_S = 5.0
+READ_TIMEOUT_S = 5.0
 
 
-class EchoWorker:
+class FixedAnswerWorker:
     """A worker that answers each read with `ANSWER`, and keeps what it has read."""
 
     def __init__(self):
@@ -58,7 +58,7 @@
         """Send data on a connection of its own, and read what comes back first."""
         reader, writer = await self.connect()
         writer.write(data)
-        return await asyncio.wait_for(reader.read(65_536), PATIENCE_S)
+        return await asyncio.wait_for(reader.read(65_536), READ_TIMEOUT_S)
 
 
 @pytest.fixture
@@ -67,7 +67,7 @@
 
     async def run_in_loop(use):
         recorder = Recorder(tmp_path / "proxy.jsonl")
-        worker = EchoWorker()
+        worker = FixedAnswerWorker()
         harness = ProxyHarness(Proxy(1, 1, recorder), worker)
         async with harness.resources:
             server = await asyncio.start_server(worker.serve, "127.0.0.1", 0)
@@ -111,10 +111,10 @@
     async def use(harness):
         reader, writer = await harness.connect()
         writer.write(RUN)
-        await asyncio.wait_for(reader.read(65_536), PATIENCE_S)
+        await asyncio.wait_for(reader.read(65_536), READ_TIMEOUT_S)
         await harness.command(None)
         with pytest.raises(ConnectionResetError):
-            await asyncio.wait_for(reader.read(1), PATIENCE_S)
+            await asyncio.wait_for(reader.read(1), READ_TIMEOUT_S)
         with pytest.raises(ConnectionRefusedError):
             await harness.connect()
         await harness.command()
@@ -129,10 +129,10 @@
     async def use(harness):
         reader, writer = await harness.connect()
         writer.write(RUN)
-        await asyncio.wait_for(reader.read(65_536), PATIENCE_S)
+        await asyncio.wait_for(reader.read(65_536), READ_TIMEOUT_S)
         await harness.command(reset_connections=True)
         with pytest.raises(ConnectionResetError):
-            await asyncio.wait_for(reader.read(1), PATIENCE_S)
+            await asyncio.wait_for(reader.read(1), READ_TIMEOUT_S)
         return await harness.exchange(RUN)
 
     answer, _ = with_proxy(use)
--- a/tests/soak_test/test_shim.py
+++ b/tests/soak_test/test_shim.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from soak.shim import CONTROL_VARIABLE, SOURCE, ShimControl, build
+from soak.shim import CONTROL_VARIABLE, SOURCE, ShimControl, build_shim
 
 HOUR_S = 3600.0
 needs_compiler = pytest.mark.skipif(shutil.which("cc") is None, reason="no C compiler on this machine")
@@ -49,7 +49,7 @@
     strict = subprocess.run(command, capture_output=True, text=True, check=False)
 
     assert strict.returncode == 0, strict.stderr
-    assert build(tmp_path).exists()
+    assert build_shim(tmp_path).exists()
 
 
 # --- what it injects: programs that run with the shim print what they see of a call
@@ -123,7 +123,7 @@
 @pytest.fixture(scope="module")
 def shim(tmp_path_factory):
     """The built library."""
-    return build(tmp_path_factory.mktemp("shim"))
+    return build_shim(tmp_path_factory.mktemp("shim"))
 
 
 @pytest.fixture
--- a/tests/soak_test/test_traffic.py
+++ b/tests/soak_test/test_traffic.py
@@ -8,7 +8,7 @@
 from soak.traffic import Traffic
 
 
-class CommandedProcess:
+class FakeProcess:
     """Stands in for the clients' process, and keeps the commands."""
 
     def __init__(self):
@@ -25,7 +25,7 @@
 
     def run(change):
         async def start_and_change():
-            process = CommandedProcess()
+            process = FakeProcess()
             traffic = Traffic(process, router_count=2)
             await traffic.start([1, 2], 50.0)
             await change(traffic)
