--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,15 +1,16 @@
-"""A soak test: real router processes on loopback under overlapping faults, checked by the operator's rules.
+"""Soak test of the router: real processes on loopback, overlapping faults, checks of the operator's rules.
 
-From the plan to the result of the check:
+A run has these stages:
 
-- Plan: `plan` draws the faults of a run from a seed; `site` has the figures that all parts share.
-- Run: `run` starts a `cluster` and injects the faults on schedule. `faults` has one function for each kind,
-  `injector` keeps exclusive ones apart. The cluster consists of `router_slot`, `worker_slot`, `endpoint_feed`
-  (one `endpoint_log` for each router) and `traffic`; `run_record` has what it records about its processes.
-- Processes, started by `module_process` and driven by `commands`: `clients` (`request_client` and
-  `bad_clients`, over `client_connections`, `thrift_client` and `thrift_messages`), `proxy` (with a
-  `frame_tap`), and `worker`. Clients and proxy write what they observe as `records`. Routers run with `shim`,
-  the library of `shim.c`.
-- Check: `checker` reads everything as one `history`, checks it by `request_rules`, `worker_rules` and
+- Plan: `plan` draws the faults of a run from a seed. `site` defines the parameters that all modules share.
+- Run: `run` starts a `cluster` and injects the faults on schedule. `faults` has a function for each kind of
+  fault, and `injector` prevents exclusive faults from overlapping on a target. The cluster manages routers
+  (`router_slot`), workers (`worker_slot`), an endpoint log for each router (`endpoint_feed`, `endpoint_log`)
+  and the clients (`traffic`). `run_record` holds what the cluster records about its processes.
+- Processes: `module_process` starts the clients, the proxy and the workers. The first two are controlled by
+  `commands`, and write their observations as `records`. `clients` sends requests (`request_client`) and
+  protocol violations (`bad_clients`) over `client_connections`, `thrift_client` and `thrift_messages`.
+  `proxy` observes frames with a `frame_tap`. Routers run with `shim`, which preloads the library of `shim.c`.
+- Check: `checker` loads all records as a `history`, checks it with `request_rules`, `worker_rules` and
   `router_rules`, and counts `figures` for the report.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the soak test: ``python -m soak --seeds 5``."""
+"""The command line of the soak test, for example ``python -m soak --seeds 5``."""
 
 import asyncio
 import shutil
@@ -17,25 +17,27 @@
 from soak.run import run_plan
 from soak.run_folder import RunFolder
 
-SeedOption = Annotated[int, typer.Option(help="The first seed.")]
-SeedsOption = Annotated[int, typer.Option(help="How many seeds to run, one after the other.")]
-SecondsOption = Annotated[float, typer.Option(help="Length of the traffic of a run.")]
-RoutersOption = Annotated[int, typer.Option(help="Router processes.")]
-WorkersOption = Annotated[int, typer.Option(help="Worker processes.")]
-RateOption = Annotated[float, typer.Option(help="Requests a second, of all clients together.")]
+SeedOption = Annotated[int, typer.Option(help="Seed of the first run.")]
+SeedsOption = Annotated[int, typer.Option(help="Number of runs; each has the next seed.")]
+SecondsOption = Annotated[float, typer.Option(help="Duration of the traffic of a run in seconds.")]
+RoutersOption = Annotated[int, typer.Option(help="Number of router processes.")]
+WorkersOption = Annotated[int, typer.Option(help="Number of worker processes.")]
+RateOption = Annotated[float, typer.Option(help="Requests per second of all clients together.")]
 FaultOption = Annotated[
-    list[FaultKind] | None, typer.Option(help="Only faults of these kinds; without it, of all.")
+    list[FaultKind] | None, typer.Option(help="Kind of faults to inject; may be repeated. Default: all.")
 ]
 NoFaultsOption = Annotated[bool, typer.Option("--no-faults", help="Inject no faults.")]
-NoShimOption = Annotated[bool, typer.Option("--no-shim", help="Leave system calls and clocks alone.")]
+NoShimOption = Annotated[
+    bool, typer.Option("--no-shim", help="Make no system calls fail, and step no clocks.")
+]
 LogOutageOption = Annotated[
-    float, typer.Option(help="Length of each long outage of the endpoint logs; 0: 4 to 12 s, by the seed.")
+    float, typer.Option(help="Seconds that an outage of all endpoint logs lasts; 0: 4 to 12, by the seed.")
 ]
-KeepOption = Annotated[Path | None, typer.Option(help="Keep records and logs in this folder.")]
+KeepOption = Annotated[Path | None, typer.Option(help="Folder in which to keep the records and logs.")]
 
 
 def _run(plan: Plan, folder: RunFolder, *, uses_shim: bool) -> CheckResult:
-    """Run a plan in a fresh folder, and check it."""
+    """Run a plan in an empty folder, and check the run."""
     if folder.path.exists():
         shutil.rmtree(folder.path)
     folder.path.mkdir(parents=True)
@@ -57,7 +59,7 @@
 
 
 def _run_and_report(plan: Plan, folder: RunFolder, *, uses_shim: bool) -> bool:
-    """Run a plan and print the result of its check; whether it kept all rules."""
+    """Run a plan and print the result of its check; return whether it kept all rules."""
     started = time.monotonic()
     check_result = _run(plan, folder, uses_shim=uses_shim)
     _report(plan, check_result, time.monotonic() - started)
@@ -77,7 +79,7 @@
     log_outage: LogOutageOption = 0.0,
     keep: KeepOption = None,
 ) -> None:
-    """Run real processes on loopback under faults, check each run, and exit with 1 if any broke a rule."""
+    """Run router processes on loopback under faults, and check each run; exit with 1 if any broke a rule."""
     kinds = [] if no_faults else (fault or list(FaultKind))
     plans = [
         draw_plan(number, routers, workers, duration_s=seconds, requests_per_s=rate, kinds=kinds)
--- a/soak/checker.py
+++ b/soak/checker.py
@@ -1,7 +1,7 @@
-"""Checks a run by the operator's rules, from what clients, proxy and cluster have recorded.
+"""Checks a run against the operator's rules, using the records of the clients, the proxy and the cluster.
 
 All times are of the machine's monotonic clock, which the processes share. Each rule allows the slack that the
-operator's pages give it, and `MEASUREMENT_SLACK_S` for the time that the observers themselves take.
+operator's pages grant, and `MEASUREMENT_SLACK_S` for the delay of the observers.
 """
 
 from soak.figures import count_figures
@@ -14,7 +14,7 @@
 
 
 def check_run(record: RunRecord) -> CheckResult:
-    """Check all rules; reads the records and logs in the folder of the run."""
+    """Check all rules, using the records and logs in the folder of the run."""
     history = RunHistory(record)
     check_result = CheckResult(figures=count_figures(history))
     for request in history.requests:
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The processes of one run: proxy, workers, endpoint logs, routers and clients."""
+"""The processes and servers of a run: proxy, workers, endpoint logs, routers and clients."""
 
 import asyncio
 import contextlib
@@ -20,23 +20,23 @@
 from soak.traffic import Traffic
 from soak.worker_slot import WorkerSlot
 
-FINISH_TIMEOUT_S = 8.0  # for the clients, and then for the proxy, to end by themselves
-CLEANUP_DELAY_S = 0.2  # for pipes and tasks to end
-START_FAILURE_SHARE = 0.3  # of the calls of socket and open that fail while a router starts
-START_FAILURE_DURATION_S = 1.0
+FINISH_TIMEOUT_S = 8.0  # for the clients, and then for the proxy, to exit
+CLEANUP_DELAY_S = 0.2  # for pipes and tasks to close
+START_FAILURE_SHARE = 0.3  # share of the calls of socket and open that fail while a router starts
+START_FAILURE_DURATION_S = 1.0  # from the start of a router
 
 
 class Cluster:
-    """An async context manager that starts all processes, and ends them on exit.
+    """An async context manager that starts all processes on entry, and ends them on exit.
 
     Attributes:
-        plan: the plan of the run, with the sizes of the cluster.
-        rng: random generator for the seeds and delays that aren't part of the plan.
-        routers: by number.
-        workers: the worker slots, by number.
-        endpoints: the endpoint events, and the log of each router.
-        traffic: control of the clients.
-        log_outages: the long outages of all endpoint logs that are over.
+        plan: The plan of the run, with the size of the cluster.
+        rng: The random generator for seeds and delays that aren't part of the plan.
+        routers: The routers; the index is the router's number.
+        workers: The worker slots; the index is the slot's number.
+        endpoints: The endpoint events, and the endpoint log of each router.
+        traffic: The control of the clients.
+        log_outages: The outages of all endpoint logs that have ended.
     """
 
     endpoints: EndpointFeed
@@ -56,7 +56,7 @@
         self._resources = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> "Cluster":
-        async with self._resources:  # ends what has started if the rest can't start
+        async with self._resources:  # stops what has started if the rest can't start
             self._resources.callback(self._ports.close)
             self._resources.push_async_callback(asyncio.sleep, CLEANUP_DELAY_S)
             proxy_ports = await self._start_proxy()
@@ -74,19 +74,20 @@
 
     @property
     def router_incarnations(self) -> list[RouterIncarnation]:
-        """The incarnations of all routers, by router and then by start time."""
+        """Return the incarnations of all routers, ordered by router and then by start time."""
         return [incarnation for router in self.routers for incarnation in router.incarnations]
 
     @property
     def worker_incarnations(self) -> list[WorkerIncarnation]:
-        """The incarnations of all worker slots, by start time."""
+        """Return the incarnations of all worker slots, ordered by start time."""
         incarnations = [incarnation for slot in self.workers for incarnation in slot.incarnations]
         return sorted(incarnations, key=lambda incarnation: incarnation.started_at)
 
     async def start_router(self, router: RouterSlot) -> None:
         """Start an incarnation of a router, configured with the current endpoint list.
 
-        With a shim, some system calls fail during its first second: a transient failure must not end it.
+        With a shim, some system calls fail during its first second: a transient failure must not end a router
+        that starts.
         """
         router.config.endpoint_log_port = self.endpoints.servers[router.number].port
         router.config.known_sequence = self.endpoints.last_sequence
@@ -102,7 +103,7 @@
         await starting
 
     async def drain(self) -> None:
-        """End the traffic, then terminate the routers as a deployment would, and complete all records."""
+        """Stop the traffic, terminate the routers as a deployment would, and complete all records."""
         await self.traffic.stop()
         await self._clients.finish(FINISH_TIMEOUT_S)
         for router in self.routers:
@@ -112,7 +113,7 @@
         await self._proxy.finish(FINISH_TIMEOUT_S)
 
     async def _start_proxy(self) -> list[list[int]]:
-        """Start the proxy; its ports by router and worker slot."""
+        """Start the proxy; return its ports by router and worker slot."""
         counts = (str(self.plan.router_count), str(self.plan.worker_count))
         self._proxy = await ModuleProcess.start("soak.proxy", *counts, str(self._folder.proxy_records))
         self._resources.push_async_callback(self._proxy.clean_up)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,7 +1,7 @@
-"""The faults: one function each, and the registry that says what they hit and which exclude each other.
+"""The faults: a function for each kind, and a registry of their targets and mutual exclusion.
 
-Each function injects its fault and returns once that is over. A fault that lasts is kept up for the planned
-duration; restarts, reloads, resets and clock steps have no duration, and a clock step is never undone.
+Each function injects its fault, and returns when the fault is over. A lasting fault goes on for its planned
+duration. Restarts, reloads, resets and clock steps ignore that duration, and a clock step is never undone.
 """
 
 import asyncio
@@ -17,26 +17,26 @@
 from soak.worker_changes import drain_and_replace, publish_ready
 from soak.worker_slot import WorkerSlot
 
-BURST_FACTOR = 2.5  # of the plan's rate of requests
+BURST_FACTOR = 2.5  # factor on the plan's request rate
 BAD_CLIENTS_PER_S = 20.0
-ROUTER_DOWNTIME_S = 0.3  # between the end of a router and its next start
-SIGTERM_DETECTION_S = 0.3  # after SIGTERM, until clients avoid the router
-KILL_DETECTION_S = 0.8  # until clients avoid a router that was killed
+ROUTER_DOWNTIME_S = 0.3  # from the exit of a router to the start of its next process
+SIGTERM_DETECTION_S = 0.3  # from SIGTERM until clients open no more connections to the router
+KILL_DETECTION_S = 0.8  # from a kill until clients avoid the router
 SIGHUP_COUNT = 4
 MAX_SIGNAL_INTERVAL_S = 0.2
-MAX_INTENSITY_WITHOUT_ROLL = 0.5  # of a series of signals
+MAX_INTENSITY_WITHOUT_ROLL = 0.5  # above this, a series of signals includes a rolling restart
 MIN_PAUSE_S = 0.1
-MAX_EXTRA_PAUSE_S = 0.15  # on top of it, at full intensity
-PAUSE_INTERVAL_S = 0.4
-CLOCK_STEPS_S = (5.0, -5.0, 3600.0, -3600.0, 60.0)
-MIN_WORKER_DOWNTIME_S = 0.1  # between the end of a worker and its next start
+MAX_EXTRA_PAUSE_S = 0.15  # added to the minimum at full intensity
+PAUSE_INTERVAL_S = 0.4  # from the end of a pause to the next one
+CLOCK_STEPS_S = (5.0, -5.0, 3600.0, -3600.0, 60.0)  # the intensity selects one
+MIN_WORKER_DOWNTIME_S = 0.1  # from the kill of a worker to the start of its next process
 MAX_WORKER_DOWNTIME_S = 0.8
-MAX_PUBLISH_DELAY_S = 0.5  # between a worker's start and its event
-DRAIN_DURATION_S = 1.5  # between a worker's drain and its end
+MAX_PUBLISH_DELAY_S = 0.5  # from a worker's start to its endpoint event
+DRAIN_DURATION_S = 1.5  # from the start of a worker's drain to its kill
 RESET_COUNT = 3
 RESET_INTERVAL_S = 0.3
 MIN_CORRUPTED_SHARE = 0.05
-MAX_EXTRA_CORRUPTED_SHARE = 0.1  # on top of it, at full intensity
+MAX_EXTRA_CORRUPTED_SHARE = 0.1  # added to the minimum at full intensity
 
 CALL_FAILURES: Final = {
     "accept_failures": 0.3,
@@ -49,13 +49,16 @@
     "register_failures": 0.1,
     "open_failures": 0.5,
 }
-"""The shares of calls that fail at full intensity; fields of `ShimControl`."""
+"""The share of calls that fail at full intensity, by field of `ShimControl`."""
 
-# --- faults of routers
+# --- router faults
 
 
 async def roll_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
-    """Send SIGTERM; clients connect for a moment more, and use open connections until SIGKILL would come."""
+    """Restart a router with SIGTERM, as a rolling deployment does.
+
+    Clients open connections for a short time after SIGTERM, and use open ones until the process has exited.
+    """
     ending = asyncio.create_task(router.terminate())
     await asyncio.sleep(SIGTERM_DETECTION_S)
     await cluster.traffic.open_no_connections(router.number)
@@ -65,7 +68,7 @@
 
 
 async def kill_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
-    """Send SIGKILL, which clients notice only later, then start a new process."""
+    """Kill a router with SIGKILL, which clients notice only later, then start a new process."""
     ending = asyncio.create_task(router.kill())
     await asyncio.sleep(KILL_DETECTION_S)
     await cluster.traffic.avoid_router(router.number)
@@ -81,7 +84,7 @@
 
 
 async def pause_router(_cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
-    """Suspend the process repeatedly for a moment, as an overloaded machine would."""
+    """Suspend the process repeatedly for a short time, as an overloaded machine would."""
     end = time.monotonic() + fault.duration_s
     while time.monotonic() < end:
         router.pause()
@@ -91,7 +94,7 @@
 
 
 async def reload_router(cluster: Cluster, router: RouterSlot, _fault: Fault) -> None:
-    """Move the endpoint log to another address, and have the router reload its configuration."""
+    """Move the endpoint log to another port, and make the router reload its configuration."""
     server = cluster.endpoints.servers[router.number]
     await server.move()
     router.config.endpoint_log_port = server.port
@@ -99,7 +102,10 @@
 
 
 async def send_signal_series(cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
-    """Move the log and send SIGHUP several times in a row; at high intensity, roll the router amid more."""
+    """Move the endpoint log and send SIGHUP several times in a row.
+
+    At high intensity, then restart the router with SIGTERM, and send SIGHUP and SIGTERM while it drains.
+    """
     for _ in range(SIGHUP_COUNT):
         await reload_router(cluster, router, fault)
         await asyncio.sleep(MAX_SIGNAL_INTERVAL_S * fault.intensity)
@@ -112,14 +118,14 @@
 
 
 async def stall_log_reader(_cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
-    """Leave the router's own log unread, so that its pipe fills up."""
+    """Stop reading the log that the router writes, so that its pipe fills up."""
     router.is_log_read = False
     await asyncio.sleep(fault.duration_s)
     router.is_log_read = True
 
 
 async def break_endpoint_log(cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
-    """End the connections of the endpoint log, and refuse new ones."""
+    """Close the connections of the endpoint log, and refuse new ones."""
     await cluster.endpoints.servers[router.number].refuse_connections(fault.duration_s)
 
 
@@ -129,7 +135,7 @@
 
 
 async def step_clock(_cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
-    """Step the router's wall clock, for good; the monotonic clock is unaffected."""
+    """Step the router's wall clock permanently; its monotonic clock is unaffected."""
     control = router.shim_control
     control.offset_before_s = control.offset_after_s
     control.step_at_unix_s = time.time()
@@ -138,7 +144,7 @@
 
 
 async def fail_calls(_cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
-    """Make some of the router's system calls fail, in ways that Linux documents."""
+    """Make a share of the router's system calls fail, only in ways that Linux documents."""
     for name, share in CALL_FAILURES.items():
         setattr(router.shim_control, name, share * fault.intensity)
     router.write_shim_control()
@@ -148,11 +154,11 @@
     router.write_shim_control()
 
 
-# --- faults of workers
+# --- worker faults
 
 
 async def restart_worker(cluster: Cluster, slot: WorkerSlot, _fault: Fault) -> None:
-    """Kill a worker and restart it under its name; the endpoint log announces it a moment later."""
+    """Kill a worker and restart it under the same name, and publish its endpoint event after a delay."""
     name = slot.incarnation.name
     await slot.kill()
     await asyncio.sleep(cluster.rng.uniform(MIN_WORKER_DOWNTIME_S, MAX_WORKER_DOWNTIME_S))
@@ -162,26 +168,26 @@
 
 
 async def replace_worker(cluster: Cluster, slot: WorkerSlot, _fault: Fault) -> None:
-    """Drain a worker, then start another one, with another name, at its address."""
+    """Drain a worker, then start one with another name in its slot."""
     await drain_and_replace(cluster, slot, DRAIN_DURATION_S, new_name=f"{slot.incarnation.name}x")
 
 
 async def hang_worker(_cluster: Cluster, slot: WorkerSlot, fault: Fault) -> None:
-    """Suspend the worker's process; its connections stay open."""
+    """Suspend the worker's process, whose connections stay open."""
     slot.process.pause()
     await asyncio.sleep(fault.duration_s)
     slot.process.resume()
 
 
 async def reset_connections(_cluster: Cluster, slot: WorkerSlot, _fault: Fault) -> None:
-    """Reset all connections to the worker, a few times."""
+    """Reset all connections to the worker several times."""
     for _ in range(RESET_COUNT):
         await slot.forward(reset_connections=True)
         await asyncio.sleep(RESET_INTERVAL_S)
 
 
 async def corrupt_answers(_cluster: Cluster, slot: WorkerSlot, fault: Fault) -> None:
-    """Garble, duplicate or truncate some of what the worker sends."""
+    """Replace by noise, duplicate or truncate a share of what the worker sends."""
     share = MIN_CORRUPTED_SHARE + MAX_EXTRA_CORRUPTED_SHARE * fault.intensity
     await slot.forward(corrupted_share=share)
     await asyncio.sleep(fault.duration_s)
@@ -195,18 +201,18 @@
     await slot.forward()
 
 
-# --- faults of clients
+# --- client faults
 
 
 async def raise_request_rate(cluster: Cluster, fault: Fault) -> None:
-    """Multiply the rate of requests."""
+    """Multiply the request rate of the clients."""
     await cluster.traffic.set_request_rate(cluster.plan.requests_per_s * BURST_FACTOR)
     await asyncio.sleep(fault.duration_s)
     await cluster.traffic.set_request_rate(cluster.plan.requests_per_s)
 
 
 async def add_bad_clients(cluster: Cluster, fault: Fault) -> None:
-    """Add clients that violate the protocol."""
+    """Start clients that violate the protocol."""
     await cluster.traffic.set_bad_client_rate(BAD_CLIENTS_PER_S)
     await asyncio.sleep(fault.duration_s)
     await cluster.traffic.set_bad_client_rate(0.0)
@@ -217,7 +223,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterFault:
-    """A fault of single routers; a router has at most one exclusive fault at a time, and any others."""
+    """A fault of individual routers; a router has at most one exclusive fault at a time, and any others."""
 
     inject: Callable[[Cluster, RouterSlot, Fault], Awaitable[None]]
     is_exclusive: bool = True
@@ -225,21 +231,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerFault:
-    """A fault of single worker slots; a slot has at most one fault at a time."""
+    """A fault of individual worker slots; a slot has at most one fault at a time."""
 
     inject: Callable[[Cluster, WorkerSlot, Fault], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class ClientFault:
-    """A fault of the clients, whatever other faults there are."""
+    """A fault of the clients, which excludes no other fault."""
 
     inject: Callable[[Cluster, Fault], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class LogFault:
-    """A fault of all endpoint logs, with changes of worker slots that have no other fault meanwhile."""
+    """A fault of all endpoint logs, which also replaces workers; those have no other fault meanwhile."""
 
     inject: Callable[[Cluster, list[WorkerSlot], Fault], Awaitable[None]]
 
--- a/soak/figures.py
+++ b/soak/figures.py
@@ -1,4 +1,4 @@
-"""How much was observed in a run, for the report: a run without traffic keeps all rules too."""
+"""Counts of observations for the report, which show that a run that kept all rules had traffic at all."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -7,11 +7,11 @@
 from soak.records import AnswerKind
 from soak.run_record import LogOutage
 
-SLOW_TURN_TEXT = "slow turn"  # in a line of a router's log
+SLOW_TURN_TEXT = "slow turn"  # part of the log line about a slow event loop iteration
 
 
 def count_figures(history: RunHistory) -> Counter[str]:
-    """Count requests, answers and the like; the keys are texts of the report."""
+    """Count requests, answers, router incarnations and slow turns; the keys are texts of the report."""
     figures: Counter[str] = Counter()
     for request in history.requests:
         _count_request(request, figures)
@@ -36,7 +36,7 @@
 
 
 def _count_served(request: RequestHistory, outages: Sequence[LogOutage], figures: Counter[str]) -> None:
-    """Count what was served of the requests in and outside of outages, of those that clients waited for."""
+    """Count sent and served requests in and outside of outages, without those that clients abandoned."""
     if request.client_gone or not outages:
         return
     is_in_outage = any(outage.began_at <= request.sent[0].at < outage.ended_at for outage in outages)
--- a/soak/history.py
+++ b/soak/history.py
@@ -1,4 +1,4 @@
-"""The history of a run, as the checker reads it from the records: by request, and by kind of observation."""
+"""The history of a run for the checker: its records, grouped by request and by kind."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -18,13 +18,13 @@
 )
 from soak.run_record import RunRecord
 
-# The codes of workers' answers that say that the request has not run.
+# Codes of worker answers which state that the request has not run.
 NEVER_RAN_CODES = (frames.NOT_LOADED, frames.QUEUE_FULL, frames.EXPIRED)
 
 
 @dataclass
 class RequestHistory:
-    """Everything observed about one request; `sent` is empty if no client is known to have sent it."""
+    """All observations of a request; `sent` is empty if no client has a record of sending it."""
 
     request_id: str
     sent: list[RequestSent] = field(default_factory=list)
@@ -35,7 +35,7 @@
     worker_answers: list[WorkerAnswerSeen] = field(default_factory=list)
 
     def add(self, record: RequestRecord) -> None:
-        """Add an observation."""
+        """Add a record about this request."""
         match record:
             case RequestSent():
                 self.sent.append(record)
@@ -52,7 +52,7 @@
 
     @property
     def attempts_that_may_have_run(self) -> list[AttemptSeen]:
-        """All attempts, oldest first, except those that a worker answered without running them."""
+        """Return the attempts, oldest first, except those that a worker answered without running them."""
         attempts = [attempt for attempt in self.attempts if not self._has_never_run(attempt)]
         return sorted(attempts, key=lambda attempt: attempt.at)
 
@@ -66,16 +66,16 @@
 
 
 class RunHistory:
-    """Everything observed in one run.
+    """All observations of a run.
 
     Attributes:
-        record: what the run itself recorded.
-        start_orders: start orders and probes that arrived at workers.
-        bad_clients: how each client that violated the protocol ended.
+        record: The run's record of its processes.
+        start_orders: Start orders and probes that arrived at workers.
+        bad_clients: The router's reaction to each client that violated the protocol.
     """
 
     def __init__(self, record: RunRecord) -> None:
-        """Read the records of clients and proxy."""
+        """Load the records of the clients and the proxy."""
         self.record = record
         self.start_orders: list[StartOrderSeen] = []
         self.bad_clients: list[BadClientSeen] = []
@@ -92,11 +92,11 @@
 
     @property
     def requests(self) -> list[RequestHistory]:
-        """The requests that clients are known to have sent."""
+        """Return the requests that clients have recorded as sent."""
         return [request for request in self._requests.values() if request.sent]
 
     def attempts_at(self, worker: int) -> list[AttemptSeen]:
-        """All attempts at a worker slot, also those for requests that no client is known to have sent."""
+        """Return the attempts at a worker slot, including those for requests that no client recorded."""
         return [
             attempt
             for request in self._requests.values()
@@ -105,11 +105,11 @@
         ]
 
     def start_orders_at(self, worker: int) -> list[StartOrderSeen]:
-        """All start orders at a worker slot, without probes."""
+        """Return the start orders at a worker slot, without probes."""
         return [order for order in self.start_orders if order.worker == worker and order.instances]
 
     def sent_times_by_router(self) -> dict[int, list[float]]:
-        """The times at which clients sent requests, sorted, by router."""
+        """Return the sorted times at which clients sent requests, by router."""
         times: dict[int, list[float]] = defaultdict(list)
         for request in self._requests.values():
             for sent in request.sent:
@@ -117,6 +117,6 @@
         return {router: sorted(sent_at) for router, sent_at in times.items()}
 
     def log_lines(self, router: int) -> list[str]:
-        """The log of a router; empty where it has never started."""
+        """Return the log lines of a router; empty if the router has never started."""
         path = self.record.folder.router_log(router)
         return path.read_text(errors="replace").splitlines() if path.exists() else []
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -1,4 +1,4 @@
-"""Injects faults into a cluster, with at most one exclusive fault at a time on a target."""
+"""Injects faults into a cluster, with at most one exclusive fault on a target at a time."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 
 
 class FaultInjector:
-    """Keeps track of the targets that have an exclusive fault; another one leaves these out."""
+    """Tracks the targets of exclusive faults, and skips these targets when it injects another one."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
@@ -19,7 +19,7 @@
         self._is_log_outage_active = False
 
     async def inject(self, fault: Fault) -> None:
-        """Inject a fault into its targets, except those that are reserved, and wait until it is over."""
+        """Inject a fault into its targets, except reserved ones, and wait until it is over."""
         match FAULTS[fault.kind]:
             case RouterFault(is_exclusive=True) as router_fault:
                 with _reserve(fault.routers, self._busy_routers) as routers:
@@ -36,7 +36,7 @@
                 await client_fault.inject(self._cluster, fault)
 
     async def _inject_into_logs(self, registered: LogFault, fault: Fault) -> None:
-        """Inject a fault of all endpoint logs, unless they have one; reserve the workers that it changes."""
+        """Inject a fault of all endpoint logs unless one is active; reserve the workers that it replaces."""
         if self._is_log_outage_active:
             return
         self._is_log_outage_active = True
@@ -53,7 +53,7 @@
 
 @contextlib.contextmanager
 def _reserve(targets: list[int], busy: set[int]) -> Iterator[list[int]]:
-    """Reserve the targets that are free, and yield them; release them at the end of the block."""
+    """Reserve the targets that are not busy, and yield them; release them at the end of the block."""
     free = [target for target in targets if target not in busy]
     busy.update(free)
     try:
--- a/soak/log_outage.py
+++ b/soak/log_outage.py
@@ -1,4 +1,4 @@
-"""A long outage of all endpoint logs, in which workers drain and restart cold."""
+"""A long outage of all endpoint logs, during which workers drain and restart without instances."""
 
 import asyncio
 import time
@@ -10,15 +10,15 @@
 from soak.worker_changes import drain_and_replace
 from soak.worker_slot import WorkerSlot
 
-LOG_OUTAGE_FACTOR = 4.0  # by which a long outage exceeds the duration of other faults
-FIRST_DRAIN_DELAY_S = 0.5  # after the logs have failed
-DRAIN_INTERVAL_S = 1.5
-DRAIN_SHARE = 0.4  # of the outage, for which each worker drains
+LOG_OUTAGE_FACTOR = 4.0  # ratio of the duration of an outage to that of its fault
+FIRST_DRAIN_DELAY_S = 0.5  # from the start of the outage
+DRAIN_INTERVAL_S = 1.5  # from the replacement of a worker to the next drain
+DRAIN_SHARE = 0.4  # share of the outage for which each worker drains
 MAX_DRAINED_AT_ONCE = 2
 
 
 async def inject_log_outage(cluster: Cluster, slots: list[WorkerSlot], fault: Fault) -> None:
-    """Take all logs out of reach in one way; meanwhile some workers drain and are replaced."""
+    """Fail all endpoint logs in the same way, and meanwhile drain and replace workers."""
     failures = list(LogFailure)
     failure = failures[int(fault.intensity * len(failures))]
     outage_s = cluster.plan.log_outage_s or LOG_OUTAGE_FACTOR * fault.duration_s
@@ -29,7 +29,7 @@
 
 
 async def _replace_workers(cluster: Cluster, slots: list[WorkerSlot], outage_s: float) -> None:
-    """Drain the slots in turn, a few at once; every other worker comes back under its own name."""
+    """Drain and replace the workers, a few at a time; every other one keeps its name."""
     end = time.monotonic() + outage_s
     await asyncio.sleep(FIRST_DRAIN_DELAY_S)
     drain_limit = asyncio.Semaphore(MAX_DRAINED_AT_ONCE)
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,7 +1,7 @@
-"""The plan of a run, drawn from a seed: its sizes, and which faults are injected when and where.
+"""The plan of a run, drawn from a seed: the size of the cluster, and the time and targets of each fault.
 
-The same seed and options give the same plan in every version, so that recorded seeds remain useful: neither
-the draws nor their order may change.
+The same seed and options give the same plan in every version, so that recorded seeds remain useful. Neither
+the random draws nor their order may change.
 """
 
 import random
@@ -10,23 +10,23 @@
 
 from msgspec import Struct
 
-WARM_UP_S = 3.0
-COOL_DOWN_S = 2.0
+WARM_UP_S = 3.0  # from the start of the traffic to the first injection
+COOL_DOWN_S = 2.0  # without injections, at the end of the traffic
 INJECTION_INTERVAL_S = 3.0
-INJECTION_JITTER_S = 0.5  # faults that are injected together start within this
-MAX_SIMULTANEOUS_FAULTS = 3  # injected together; earlier ones may still last
+INJECTION_JITTER_S = 0.5  # maximum delay of a fault after the start of its injection
+MAX_SIMULTANEOUS_FAULTS = 3  # per injection; faults of earlier injections may still be active
 MIN_FAULT_DURATION_S = 1.0
 MAX_FAULT_DURATION_S = 3.0
-MAX_ROUTER_SHARE = 0.5  # of all routers, as targets of one fault
-MAX_WORKER_SHARE = 0.34
-MANY_CONNECTIONS_SHARE = 0.3  # of the runs, in which clients hold many connections
-MANY_CONNECTIONS = 40  # to each router
+MAX_ROUTER_SHARE = 0.5  # maximum share of the routers that one fault hits
+MAX_WORKER_SHARE = 0.34  # maximum share of the worker slots that one fault hits
+MANY_CONNECTIONS_SHARE = 0.3  # share of the runs in which clients hold many connections
+MANY_CONNECTIONS = 40  # minimum per router in such a run
 MIN_FUNCTIONS = 8
 MAX_FUNCTIONS = 24
 
 
 class FaultKind(StrEnum):
-    """The kinds of faults; `soak/faults.py` implements them."""
+    """The kinds of faults, which `soak/faults.py` implements; a plan depends on their order."""
 
     ROUTER_ROLL = "router-roll"
     ROUTER_KILL = "router-kill"
@@ -50,15 +50,15 @@
 
 
 class Fault(Struct, frozen=True):
-    """One fault that is to be injected.
+    """A scheduled fault.
 
     Attributes:
-        kind: what happens.
-        start_s: when it begins, in seconds from the start of the traffic.
-        duration_s: for how long a fault lasts that doesn't end by itself.
-        routers: the routers that a fault of routers hits.
-        workers: the worker slots that a fault of workers hits.
-        intensity: from 0 to 1; what it means is the fault's own.
+        kind: The kind of the fault.
+        start_s: Seconds from the start of the traffic to the start of the fault.
+        duration_s: Duration of a fault that doesn't end by itself.
+        routers: Numbers of the routers that a router fault hits.
+        workers: Numbers of the worker slots that a worker fault or an outage of the endpoint logs hits.
+        intensity: Severity from 0 to 1; each kind of fault interprets it in its own way.
     """
 
     kind: FaultKind
@@ -70,10 +70,18 @@
 
 
 class Plan(Struct, frozen=True):
-    """A whole run; `duration_s` is the length of the traffic, `faults` are in the order of their starts.
+    """The plan of a run.
 
-    A long outage of the endpoint logs lasts for `log_outage_s` or, where that is 0, for several times the
-    duration of its fault.
+    Attributes:
+        seed: The seed that the plan was drawn from.
+        router_count: Number of routers.
+        worker_count: Number of worker slots.
+        duration_s: Duration of the traffic.
+        requests_per_s: Request rate of all clients together.
+        function_count: Number of functions that clients call.
+        faults: The faults, ordered by start time.
+        connections_per_router: Number of connections that clients open at least to each router in use.
+        log_outage_s: Duration of an outage of all endpoint logs; 0: a multiple of its fault's duration.
     """
 
     seed: int
@@ -83,7 +91,7 @@
     requests_per_s: float
     function_count: int
     faults: list[Fault]
-    connections_per_router: int  # that clients open at least, where a router gets requests
+    connections_per_router: int
     log_outage_s: float = 0.0
 
 
@@ -96,7 +104,7 @@
     requests_per_s: float,
     kinds: Sequence[FaultKind],
 ) -> Plan:
-    """Draw a run in which up to three faults of these kinds are injected together every few seconds."""
+    """Draw a plan that injects up to three faults of the given kinds together every few seconds."""
     rng = random.Random(seed)
     faults: list[Fault] = []
     injection_s = WARM_UP_S
@@ -131,5 +139,5 @@
 
 
 def _draw_targets(rng: random.Random, count: int, max_share: float) -> list[int]:
-    """Draw at least one of `count` targets, and at most a share of them; sorted."""
+    """Draw at least one of `count` targets, and at most a share of them; return them sorted."""
     return sorted(rng.sample(range(count), rng.randint(1, max(1, int(max_share * count)))))
--- a/soak/records.py
+++ b/soak/records.py
@@ -1,4 +1,7 @@
-"""What the processes of a run observe, as JSON lines; times are seconds of the machine's monotonic clock."""
+"""Records of what the processes of a run observe, stored as JSON lines.
+
+All times are seconds of the machine's monotonic clock, which the processes share.
+"""
 
 from collections.abc import Iterator
 from enum import StrEnum
@@ -13,14 +16,14 @@
     """The kinds of answers to a request."""
 
     SERVED = "served"  # the response of a worker
-    THROTTLED = "throttled"  # a rejection: the client may try again later
-    BROKEN = "broken"  # an error: the request may have run
+    THROTTLED = "throttled"  # a rejection; the client may retry later
+    BROKEN = "broken"  # an error; the request may have run
     EXCEPTION = "exception"  # an application exception of Thrift
-    SURPLUS = "surplus"  # not a kind of its own: any answer to a request that was already answered
+    SURPLUS = "surplus"  # an answer of any kind to a request that was already answered
 
 
 class RequestSent(Struct, tag=True, frozen=True):
-    """A client has written the last byte of a request to an accepted connection."""
+    """A client wrote the last byte of a request to an established connection."""
 
     request_id: str
     router: int
@@ -30,7 +33,7 @@
 
 
 class RequestAnswered(Struct, tag=True, frozen=True):
-    """A client got an answer; `is_genuine` is False if its body is not the one that a worker sent."""
+    """A client received an answer; `is_genuine` is False if its body differs from what a worker sends."""
 
     request_id: str
     at: float
@@ -39,14 +42,14 @@
 
 
 class ClientGone(Struct, tag=True, frozen=True):
-    """A client has cancelled a request or closed its connection, so that no answer is owed."""
+    """A client cancelled a request or closed its connection, so that the router need not answer."""
 
     request_id: str
     at: float
 
 
 class ConnectionLost(Struct, tag=True, frozen=True):
-    """The connection of a request ended without its answer; `is_retried` where the client sent it again."""
+    """A connection ended before the answer to a request; `is_retried` is True if the client retries it."""
 
     request_id: str
     at: float
@@ -55,7 +58,7 @@
 
 
 class AttemptSeen(Struct, tag=True, frozen=True):
-    """The proxy has received an attempt for a worker slot; `at` is the time of its last byte."""
+    """The proxy received an attempt for a worker slot; `at` is the time of its last byte."""
 
     router: int
     worker: int
@@ -67,7 +70,7 @@
 
 
 class WorkerAnswerSeen(Struct, tag=True, frozen=True):
-    """A worker has answered an attempt; `code` is the code of its frame."""
+    """A worker answered an attempt; `code` is the code of its frame."""
 
     router: int
     worker: int
@@ -77,7 +80,7 @@
 
 
 class StartOrderSeen(Struct, tag=True, frozen=True):
-    """The proxy has received a start order, or a probe if `instances` is 0; `at` is its last byte's time."""
+    """The proxy received a start order, or a probe if `instances` is 0; `at` is the time of its last byte."""
 
     router: int
     worker: int
@@ -87,13 +90,13 @@
 
 
 class BadClientSeen(Struct, tag=True, frozen=True):
-    """How a client that violated the protocol ended."""
+    """The router's reaction to a client that violated the protocol, or the lack of one."""
 
     router: int
     kind: str
     at: float
     took_s: float
-    is_settled: bool  # with a rejection, an error or a close
+    is_settled: bool  # whether the router rejected the client, sent an error, or closed the connection
 
 
 RequestRecord = RequestSent | RequestAnswered | ClientGone | ConnectionLost | AttemptSeen | WorkerAnswerSeen
@@ -103,13 +106,13 @@
 
 
 class Recorder:
-    """Appends records to a file; its creator closes it."""
+    """Appends records to a file. The creator of the recorder closes it."""
 
     def __init__(self, path: Path) -> None:
         self._file: IO[bytes] = path.open("ab")
 
     def add(self, record: Record) -> None:
-        """Write a record."""
+        """Append a record."""
         self._file.write(_ENCODER.encode(record) + b"\n")
 
     def close(self) -> None:
@@ -118,6 +121,6 @@
 
 
 def read_records(path: Path) -> Iterator[Record]:
-    """The records of a file; an incomplete last line is left out."""
+    """Yield the records of a file; skip an incomplete last line."""
     for line in path.read_bytes().split(b"\n")[:-1]:
         yield _DECODER.decode(line)
--- a/soak/request_rules.py
+++ b/soak/request_rules.py
@@ -1,4 +1,4 @@
-"""The rules on single requests: their answers, their attempts, and what a class allows."""
+"""Rules on single requests: answers, attempts, and the retries that a class allows."""
 
 import math
 from collections.abc import Iterator, Sequence
@@ -10,15 +10,15 @@
 from soak.rules import MEASUREMENT_SLACK_S, Rule, Violation
 from soak.run_record import RouterIncarnation
 
-MAX_ANSWER_LATENESS_S = 0.5  # after the request's timeout
-MAX_AFTER_CLIENT_GONE_S = 0.1  # between a client's leaving and the last attempt for it
-TIMEOUT_SLACK_S = 0.15  # by which the timeout sent to a worker may exceed what the client has left
-MAX_KILL_DETECTION_S = 1.0  # after a kill, during which clients still send requests to the router
-KILL_MARGIN_S = 0.01
+MAX_ANSWER_LATENESS_S = 0.5  # from the request's timeout to the answer
+MAX_AFTER_CLIENT_GONE_S = 0.1  # from a client's cancellation or close to the last attempt for it
+TIMEOUT_SLACK_S = 0.15  # excess of the timeout sent to a worker over the client's remaining time
+MAX_KILL_DETECTION_S = 1.0  # from a router's exit until clients stop sending requests to it
+KILL_MARGIN_S = 0.01  # tolerance between the recorded kill and the deadline of a request
 
 
 def check_request(request: RequestHistory, routers: Sequence[RouterIncarnation]) -> Iterator[Violation]:
-    """All violations by one request that was sent; a planned kill of its router excuses a lost one."""
+    """Check a request that was sent; a lost one is no violation if its router was killed as planned."""
     yield from _check_answers(request, routers)
     for attempt in request.attempts:
         yield from _check_attempt(request, attempt)
@@ -26,7 +26,7 @@
 
 
 def _check_answers(request: RequestHistory, routers: Sequence[RouterIncarnation]) -> Iterator[Violation]:
-    """One genuine answer in time, unless the client has gone."""
+    """Check that a request gets exactly one genuine answer in time, unless its client has gone."""
     if request.client_gone:
         return
     sent = request.sent[-1]
@@ -48,7 +48,7 @@
 
 
 def _check_rejection(context: str, request: RequestHistory) -> Iterator[Violation]:
-    """No rejection, which invites the client to try again, of what may have run and may run only once."""
+    """Check that no at-most-once request is rejected that may have run, as clients may retry it."""
     retry_safety = site.RETRY_SAFETY_BY_CLASS[request.sent[0].class_name]
     is_rejected = request.answers[0].kind is AnswerKind.THROTTLED
     may_have_run = request.attempts_that_may_have_run
@@ -57,7 +57,7 @@
 
 
 def _was_router_killed(sent: RequestSent, routers: Sequence[RouterIncarnation]) -> bool:
-    """Whether its router was killed outright while the request was pending, as planned."""
+    """Return whether a planned SIGKILL may have lost the request, which was pending or sent soon after it."""
     return any(
         router.router == sent.router
         and router.killed_at is not None
@@ -68,7 +68,7 @@
 
 
 def _check_attempt(request: RequestHistory, attempt: AttemptSeen) -> Iterator[Violation]:
-    """No attempt for a client that has gone, and none with more time than the client has left."""
+    """Check that an attempt's client has not gone, and that it gets at most the client's remaining time."""
     sent = request.sent[-1]
     context = (
         f"{request.request_id}: router {attempt.router} to worker {attempt.worker} at "
@@ -85,7 +85,7 @@
 
 
 def _check_retries(request: RequestHistory) -> Iterator[Violation]:
-    """No more attempts than the class allows, and none too late after the first that may have run."""
+    """Check the number of attempts, and each attempt after the first one that may have run."""
     retry_safety = site.RETRY_SAFETY_BY_CLASS[request.sent[0].class_name]
     if len(request.attempts) > site.MAX_ATTEMPTS * len(request.sent):
         yield Violation(Rule.RETRY, f"{request.request_id}: {len(request.attempts)} attempts")
--- a/soak/router_rules.py
+++ b/soak/router_rules.py
@@ -1,4 +1,4 @@
-"""The rules on the routers' processes: their starts and ends, their bad clients, and their logs."""
+"""Rules on router processes: start and exit, clients that violate the protocol, and log lines."""
 
 from collections.abc import Iterator
 
@@ -7,13 +7,14 @@
 from soak.rules import MEASUREMENT_SLACK_S, Rule, Violation
 from soak.run_record import RouterIncarnation
 
-MAX_START_S = 10.0
-MAX_BAD_CLIENT_S = 3.0  # until a bad client has its rejection, error or close
-ERROR_TEXTS = ("invariant violated", "unhandled exception", "Traceback")  # in a line of a router's log
+MAX_START_S = 10.0  # from the start of a process until it is ready
+MAX_BAD_CLIENT_S = 3.0  # from a bad client's connect to its rejection, error or close
+# Texts in the log lines of routers that report an error.
+ERROR_TEXTS = ("invariant violated", "unhandled exception", "Traceback")
 
 
 def check_routers(history: RunHistory) -> Iterator[Violation]:
-    """All violations of the rules on routers' processes."""
+    """Check the rules on router processes; bad clients of a killed router are not checked."""
     incarnations = history.record.router_incarnations
     for incarnation in incarnations:
         yield from _check_incarnation(incarnation)
@@ -28,7 +29,7 @@
 
 
 def _check_incarnation(incarnation: RouterIncarnation) -> Iterator[Violation]:
-    """A router is ready in time, and exits only when asked to, with code 0 after SIGTERM."""
+    """Check that a router is ready in time, exits only on a signal, and exits with code 0 after SIGTERM."""
     name = f"router {incarnation.router}, started at {incarnation.started_at:.1f}"
     was_requested = incarnation.sigterm_at is not None or incarnation.killed_at is not None
     if incarnation.exited_at is not None and (not was_requested or _has_failed(incarnation)):
--- a/soak/rules.py
+++ b/soak/rules.py
@@ -1,16 +1,16 @@
-"""The operator's rules, and the violations that the checker has found."""
+"""The operator's rules, and the violations that the checker finds."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-MEASUREMENT_SLACK_S = 0.05  # for the delay of the observers; on top of the slack that a rule grants
-MAX_EXAMPLES = 3  # of each rule in a report
+MEASUREMENT_SLACK_S = 0.05  # delay of the observers, in addition to the slack of a rule
+MAX_EXAMPLES = 3  # per rule in a report
 
 
 class Rule(StrEnum):
-    """What must not happen; the values are texts of the report."""
+    """The rules, each named after its violation; the values are texts of the report."""
 
     LOST = "request without its one answer in time"
     DUPLICATE = "second answer, or a body that no worker made"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One violation of a rule, with what is needed to find it in the records."""
+    """A violation of a rule; `example` has the ids and times by which to find it in the records."""
 
     rule: Rule
     example: str
@@ -37,14 +37,20 @@
 
 @dataclass
 class CheckResult:
-    """How often each rule was broken, with examples, and how much was observed."""
+    """The result of checking a run.
+
+    Attributes:
+        violations: The number of violations of each rule.
+        examples: The first violations of each rule.
+        figures: Counts of observations for the report.
+    """
 
     violations: Counter[Rule] = field(default_factory=Counter)
     examples: dict[Rule, list[str]] = field(default_factory=lambda: defaultdict(list))
     figures: Counter[str] = field(default_factory=Counter)
 
     def add(self, violations: Iterable[Violation]) -> None:
-        """Count violations, and keep the first few of each rule as examples."""
+        """Count violations, and keep the first `MAX_EXAMPLES` of each rule."""
         for violation in violations:
             self.violations[violation.rule] += 1
             if len(self.examples[violation.rule]) < MAX_EXAMPLES:
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: starts the cluster, injects the plan's faults on schedule, and returns the records."""
+"""Executes a plan: starts the cluster, injects the faults on schedule, and returns the record of the run."""
 
 import asyncio
 import time
@@ -12,12 +12,12 @@
 
 
 async def run_plan(plan: Plan, folder: RunFolder, *, uses_shim: bool) -> RunRecord:
-    """Run a plan from start to end.
+    """Execute a plan.
 
     Args:
-        plan: what happens.
-        folder: an existing folder for records, logs and configuration files.
-        uses_shim: whether routers run with the shim; without it, no clock steps and no system call fails.
+        plan: The plan of the run.
+        folder: An existing folder for records, logs and configuration files.
+        uses_shim: Whether routers run with the shim; without it, no clock steps and no system call fails.
 
     Raises:
         subprocess.CalledProcessError: The shim could not be compiled.
@@ -33,7 +33,7 @@
 
 
 async def _inject_on_schedule(plan: Plan, injector: FaultInjector) -> None:
-    """Inject each fault at its time, then wait for the end of the run and of all faults."""
+    """Inject each fault at its start time, then wait for the end of the traffic and of all faults."""
     started = time.monotonic()
     tasks: list[asyncio.Task[None]] = []
     for fault in plan.faults:
--- a/soak/run_folder.py
+++ b/soak/run_folder.py
@@ -1,4 +1,4 @@
-"""The folder of a run: where each process keeps its files."""
+"""The folder of a run, and the paths of the files in it."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -6,33 +6,33 @@
 
 @dataclass(frozen=True, slots=True)
 class RunFolder:
-    """The paths of one run's records, logs and configuration files."""
+    """The paths of a run's records, logs and configuration files."""
 
     path: Path
 
     @property
     def plan(self) -> Path:
-        """The plan that was drawn."""
+        """Return the path of the plan."""
         return self.path / "plan.json"
 
     @property
     def client_records(self) -> Path:
-        """What the clients observed."""
+        """Return the path of the clients' records."""
         return self.path / "clients.jsonl"
 
     @property
     def proxy_records(self) -> Path:
-        """What the proxy observed between routers and workers."""
+        """Return the path of the proxy's records about the frames between routers and workers."""
         return self.path / "proxy.jsonl"
 
     def router_config(self, router: int) -> Path:
-        """The configuration file of a router; the shim recognizes it by the end of its name."""
+        """Return the path of a router's configuration file; the shim recognizes it by the end of the name."""
         return self.path / f"router-{router}-config.json"
 
     def router_log(self, router: int) -> Path:
-        """The log of a router, across its incarnations."""
+        """Return the path of a router's log, to which all its incarnations append."""
         return self.path / f"router-{router}.log"
 
     def shim_control(self, router: int) -> Path:
-        """The control file of a router's shim."""
+        """Return the path of the control file of a router's shim."""
         return self.path / f"control-{router}"
--- a/soak/run_record.py
+++ b/soak/run_record.py
@@ -1,4 +1,4 @@
-"""What a run records about its processes: when they started and ended, and why.
+"""The record of the processes of a run: when they started and ended, and why.
 
 All times are seconds of the machine's monotonic clock.
 """
@@ -11,14 +11,25 @@
 
 @dataclass
 class RouterIncarnation:
-    """One process of a router, from start to end; a time is None if that didn't happen."""
+    """One process of a router, from start to exit.
+
+    Attributes:
+        router: The number of the router.
+        started_at: When the process was started.
+        ready_at: When the router first answered a status request, or None.
+        sigterm_at: When SIGTERM was sent, or None.
+        killed_at: When a planned SIGKILL was sent, or None.
+        forced_kill_at: When SIGKILL was sent to a process that had not exited in time after SIGTERM, or None.
+        exited_at: When the exit was noticed, or None while the process runs.
+        exit_code: The exit code, or the negative number of the signal that ended the process.
+    """
 
     router: int
     started_at: float
     ready_at: float | None = None
-    sigterm_at: float | None = None  # SIGTERM was sent
-    killed_at: float | None = None  # by a planned SIGKILL
-    forced_kill_at: float | None = None  # by a SIGKILL, as it had not ended by itself after SIGTERM
+    sigterm_at: float | None = None
+    killed_at: float | None = None
+    forced_kill_at: float | None = None
     exited_at: float | None = None
     exit_code: int | None = None
 
@@ -28,12 +39,12 @@
     """One process of a worker slot.
 
     Attributes:
-        worker: the worker slot.
-        name: the worker's name in the endpoint events.
-        started_at: when it began to listen.
-        is_in_slow_start: whether it started during the run, so that routers owe it a slow start.
-        ready_notified_at: by router, from when on the router counts as notified that it is READY.
-        drain_notified_at: the same for its drain; empty if it was not drained.
+        worker: The number of the worker slot.
+        name: The worker's name in the endpoint events.
+        started_at: When the process began to listen.
+        is_in_slow_start: Whether it started during the run, so that routers have to give it a slow start.
+        ready_notified_at: By router, the time from which it counts as notified that the worker is READY.
+        drain_notified_at: The same for the worker's drain; empty if it was not drained.
     """
 
     worker: int
@@ -46,7 +57,7 @@
 
 @dataclass(frozen=True)
 class LogOutage:
-    """A time in which the endpoint logs of all routers were out of reach."""
+    """A period in which the endpoint logs of all routers failed; `failure` is the name of a `LogFailure`."""
 
     failure: str
     began_at: float
@@ -55,14 +66,14 @@
 
 @dataclass(frozen=True)
 class RunRecord:
-    """The input of the checker, along with the records in the folder.
+    """The input of the checker, together with the files in the folder.
 
     Attributes:
-        plan: what was to happen.
-        folder: has the observations of clients and proxy, and the logs.
-        router_incarnations: in the order of routers, and of the starts of each.
-        worker_incarnations: in the order of their starts.
-        log_outages: in the order of their ends.
+        plan: The plan that was executed.
+        folder: The folder with the records of clients and proxy, and the routers' logs.
+        router_incarnations: All processes of routers, ordered by router and then by start time.
+        worker_incarnations: All processes of workers, ordered by start time.
+        log_outages: The outages of all endpoint logs, ordered by end time.
     """
 
     plan: Plan
--- a/soak/shim.c
+++ b/soak/shim.c
@@ -1,6 +1,6 @@
-/* A library for LD_PRELOAD that injects faults into one router process: system calls fail as their man pages
- * document, and the wall clock steps. What it injects is set in a control file that the soak test writes, and may
- * change while the process runs. Each wrapper passes a call on to the C library, or fails it without a call. */
+/* A library for LD_PRELOAD that injects faults into a router process: system calls fail as their man pages
+ * document, and the wall clock steps. The soak test selects the faults in a control file, which it may
+ * rewrite while the process runs. Each wrapper calls the C library's function, or fails without a call. */
 
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -18,30 +18,31 @@
 #include <unistd.h>
 
 #define MAX_DESCRIPTORS 65536
-#define MAX_SHORT_BYTES 512 /* of a short transfer */
+#define MAX_SHORT_BYTES 512 /* maximum length of a short transfer */
 #define CONTROL_VARIABLE "SOAK_SHIM_CONTROL"
-#define CONFIGURATION_FILE "config.json" /* the end of its path */
+#define CONFIGURATION_FILE "config.json" /* the end of the path of a router's configuration file */
 
-/* What is injected: shares of calls that fail, from 0 to 1, and a step of the wall clock. soak/shim.py writes the
- * same fields in the same order. */
+/* The content of the control file: a step of the wall clock, and the shares of calls that fail, from 0 to 1.
+ * soak/shim.py writes the same fields in the same order. */
 struct control {
-    double offset_before_s; /* added to the wall clock before the step */
-    double offset_after_s;  /* added to it from the step on */
-    double step_at_unix_s;  /* when it steps, by the machine's wall clock */
-    double accept_failures;
-    double socket_failures;
-    double connect_failures;
-    double interrupted_calls;  /* of epoll_wait, and of reads, writes and connects, that return EINTR */
-    double short_transfers;    /* of reads and writes, that transfer a part */
-    double buffer_failures;    /* of reads and writes, that find no memory */
-    double broken_connections; /* of reads and writes to workers, after which the connection is dead */
-    double register_failures;  /* of additions to an epoll instance */
-    double open_failures;      /* of the configuration file */
+    double offset_before_s;    /* offset of the wall clock before the step */
+    double offset_after_s;     /* offset of the wall clock from the step on */
+    double step_at_unix_s;     /* time of the step, by the machine's wall clock */
+    double accept_failures;    /* calls of accept4 */
+    double socket_failures;    /* calls of socket for IPv4 */
+    double connect_failures;   /* calls of connect */
+    double interrupted_calls;  /* calls of epoll_wait, reads, writes and connects, which return EINTR */
+    double short_transfers;    /* reads and writes of messages, which transfer only a part */
+    double buffer_failures;    /* reads and writes, for which there is no memory */
+    double broken_connections; /* reads and writes on outgoing connections, which break */
+    double register_failures;  /* additions to an epoll instance */
+    double open_failures;      /* attempts to open the configuration file */
 };
 
-static struct control *control; /* NULL without a control file: nothing is injected */
+static struct control *control; /* NULL without a control file, in which case nothing is injected */
 static uint64_t random_state;
-static unsigned char is_outgoing[MAX_DESCRIPTORS]; /* by file descriptor: whether it connects to a peer */
+/* By file descriptor: whether the process opened the connection. */
+static unsigned char is_outgoing[MAX_DESCRIPTORS];
 
 __attribute__((constructor)) static void load_control(void) {
     const char *path = getenv(CONTROL_VARIABLE);
@@ -56,7 +57,7 @@
     random_state = 0x9E3779B97F4A7C15ULL * (uint64_t)(getpid() + 1);
 }
 
-/* A xorshift generator: the C library's would share its state with the process. */
+/* A xorshift generator; the C library's generator would share its state with the process. */
 static uint64_t next_random(void) {
     random_state ^= random_state << 13;
     random_state ^= random_state >> 7;
@@ -64,15 +65,15 @@
     return random_state;
 }
 
-/* Whether a call belongs to the share that fails, at random. */
-static int is_drawn(double share) {
+/* Decide at random whether a call belongs to the given share of calls. */
+static int is_sampled(double share) {
     return share > 0 && (double)(next_random() >> 11) / 9007199254740992.0 < share; /* 2 to the 53rd */
 }
 
-/* Whether this call gets the fault of a field of `struct control`. */
-#define INJECTS(field) (control && is_drawn(control->field))
+/* Whether to inject the fault of a field of `struct control` into this call. */
+#define INJECTS(field) (control && is_sampled(control->field))
 
-/* Set errno to one of the errors, at random; returns -1. */
+/* Set errno to a random one of the errors; return -1. */
 static int fail_with(const int *errors, size_t count) {
     errno = errors[next_random() % count];
     return -1;
@@ -80,10 +81,10 @@
 
 #define FAIL_WITH(...) fail_with((const int[]){__VA_ARGS__}, sizeof((int[]){__VA_ARGS__}) / sizeof(int))
 
-/* Declares `real`: the C library's function that the wrapper of this name calls. */
-#define REAL(name)                                                                                                 \
-    static __typeof__(name) *real;                                                                                 \
-    if (!real)                                                                                                     \
+/* Declare `real`, the C library's function of this name, for the wrapper to call. */
+#define REAL(name)                                                                                           \
+    static __typeof__(name) *real;                                                                           \
+    if (!real)                                                                                               \
     real = dlsym(RTLD_NEXT, #name)
 
 static void set_outgoing(int fd, int outgoing) {
@@ -93,7 +94,8 @@
 
 /* --- sockets */
 
-/* socket(2): the system-wide limit on open files (ENFILE), or no memory. Unix sockets are left alone. */
+/* socket(2) fails with the system-wide limit on open files (ENFILE), or for lack of memory. Unix sockets
+ * never fail. */
 int socket(int domain, int type, int protocol) {
     REAL(socket);
     if (domain == AF_INET && INJECTS(socket_failures))
@@ -103,8 +105,8 @@
     return fd;
 }
 
-/* accept(2): the client has gone (ECONNABORTED), the limit on open files, no memory, a signal, or a protocol error.
- * The connection stays in the queue of the listener. */
+/* accept(2) fails with a connection that the client has closed (ECONNABORTED), the limit on open files, lack
+ * of memory, a signal, or a protocol error. The connection stays in the queue of the listener. */
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     REAL(accept4);
     if (INJECTS(accept_failures))
@@ -114,8 +116,8 @@
     return accepted;
 }
 
-/* connect(2): no free local port (EADDRNOTAVAIL, EAGAIN) or no route; or a signal interrupts it, after which the
- * connection is still established asynchronously, as POSIX says. */
+/* connect(2) fails without a free local port (EADDRNOTAVAIL, EAGAIN) or a route, or is interrupted by a
+ * signal, after which the connection is still established asynchronously, as POSIX requires. */
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect);
     set_outgoing(fd, 1);
@@ -129,7 +131,7 @@
 
 /* --- epoll */
 
-/* epoll_wait(2): a signal interrupts the wait. */
+/* epoll_wait(2) is interrupted by a signal. */
 int epoll_wait(int epoll, struct epoll_event *events, int count, int timeout) {
     REAL(epoll_wait);
     if (INJECTS(interrupted_calls))
@@ -137,7 +139,7 @@
     return real(epoll, events, count, timeout);
 }
 
-/* epoll_ctl(2): no memory, or the user's limit on watches (ENOSPC). */
+/* epoll_ctl(2) can't add a descriptor for lack of memory, or with the user's limit on watches (ENOSPC). */
 int epoll_ctl(int epoll, int operation, int fd, struct epoll_event *event) {
     REAL(epoll_ctl);
     if (operation == EPOLL_CTL_ADD && INJECTS(register_failures))
@@ -147,8 +149,8 @@
 
 /* --- reads and writes */
 
-/* recv(2), send(2) and tcp(7): a signal, no memory, or a broken connection, which is shut down so that it stays
- * broken. Returns 0, or -1 with errno set. */
+/* Fail a transfer as recv(2), send(2) and tcp(7) document: with a signal, lack of memory, or a broken
+ * connection, which is shut down so that it stays broken. Return 0 for no failure, or -1 with errno set. */
 static int inject_transfer_failure(int fd) {
     if (INJECTS(interrupted_calls))
         return FAIL_WITH(EINTR);
@@ -161,36 +163,38 @@
     return 0;
 }
 
-/* A message for recvmsg or sendmsg; `first` is its only buffer if the transfer is short. */
+/* A message for recvmsg or sendmsg; `short_buffer` is its only buffer if the transfer is short. */
 struct transfer {
     struct msghdr message;
-    struct iovec first;
+    struct iovec short_buffer;
 };
 
-/* recvmsg(2) and sendmsg(2): a failure as above, or a short transfer, of a part of the first buffer.
- * Returns 0, or -1 with errno set. */
+/* Prepare the message of a recvmsg or sendmsg call: fail as `inject_transfer_failure` does, or shorten the
+ * transfer to a part of the first buffer. Return 0, or -1 with errno set. */
 static int inject_into_transfer(int fd, const struct msghdr *message, struct transfer *transfer) {
     transfer->message = *message;
     if (inject_transfer_failure(fd) < 0)
         return -1;
     if (message->msg_iovlen && INJECTS(short_transfers)) {
-        transfer->first = message->msg_iov[0];
-        size_t length = transfer->first.iov_len;
+        transfer->short_buffer = message->msg_iov[0];
+        size_t length = transfer->short_buffer.iov_len;
         if (length > 1)
-            transfer->first.iov_len = 1 + next_random() % (length < MAX_SHORT_BYTES ? length : MAX_SHORT_BYTES);
-        transfer->message.msg_iov = &transfer->first;
+            transfer->short_buffer.iov_len =
+                1 + next_random() % (length < MAX_SHORT_BYTES ? length : MAX_SHORT_BYTES);
+        transfer->message.msg_iov = &transfer->short_buffer;
         transfer->message.msg_iovlen = 1;
     }
     return 0;
 }
 
-/* Convert a time of the machine's wall clock to the stepped one of the process. */
+/* Convert a time of the machine's wall clock to the stepped clock of the process. */
 static void shift_wall_clock(struct timespec *time) {
     double at_s = (double)time->tv_sec + (double)time->tv_nsec / 1e9;
-    time->tv_sec += (time_t)(at_s < control->step_at_unix_s ? control->offset_before_s : control->offset_after_s);
+    time->tv_sec +=
+        (time_t)(at_s < control->step_at_unix_s ? control->offset_before_s : control->offset_after_s);
 }
 
-/* socket(7), SO_TIMESTAMPNS: the kernel's receive timestamps are of the wall clock, so they step with it. */
+/* Step the kernel's receive timestamps (SO_TIMESTAMPNS in socket(7)), which are times of the wall clock. */
 static void shift_timestamps(struct msghdr *message) {
     for (struct cmsghdr *part = CMSG_FIRSTHDR(message); part; part = CMSG_NXTHDR(message, part)) {
         if (part->cmsg_level == SOL_SOCKET && part->cmsg_type == SCM_TIMESTAMPNS) {
@@ -202,7 +206,7 @@
     }
 }
 
-/* recvmsg(2): as `inject_into_transfer` says, with timestamps of the stepped clock. */
+/* recvmsg(2) fails or is short as `inject_into_transfer` decides. Its timestamps are of the stepped clock. */
 ssize_t recvmsg(int fd, struct msghdr *message, int flags) {
     REAL(recvmsg);
     struct transfer transfer;
@@ -218,7 +222,7 @@
     return count;
 }
 
-/* sendmsg(2): as `inject_into_transfer` says. */
+/* sendmsg(2) fails or is short as `inject_into_transfer` decides. */
 ssize_t sendmsg(int fd, const struct msghdr *message, int flags) {
     REAL(sendmsg);
     struct transfer transfer;
@@ -227,7 +231,7 @@
     return real(fd, &transfer.message, flags);
 }
 
-/* recv(2): as `inject_transfer_failure` says. The router peeks with it, and reads its signals. */
+/* recv(2) fails as `inject_transfer_failure` decides. The router peeks with it, and reads its signals. */
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
     REAL(recv);
     if (inject_transfer_failure(fd) < 0)
@@ -242,19 +246,19 @@
     return end && strlen(end) == strlen(CONFIGURATION_FILE);
 }
 
-/* open(2), of the configuration file alone: a limit on open files, or no memory. */
-#define DEFINE_OPEN(name)                                                                                          \
-    int name(const char *path, int flags, ...) {                                                                   \
-        static int (*real)(const char *, int, ...);                                                                \
-        if (!real)                                                                                                 \
-            real = dlsym(RTLD_NEXT, #name);                                                                        \
-        va_list arguments;                                                                                         \
-        va_start(arguments, flags);                                                                                \
-        int mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(arguments, int) : 0;                                     \
-        va_end(arguments);                                                                                         \
-        if (is_configuration(path) && INJECTS(open_failures))                                                      \
-            return FAIL_WITH(ENFILE, EMFILE, ENOMEM);                                                              \
-        return real(path, flags, mode);                                                                            \
+/* open(2) fails with a limit on open files or for lack of memory, but only for the configuration file. */
+#define DEFINE_OPEN(name)                                                                                    \
+    int name(const char *path, int flags, ...) {                                                             \
+        static int (*real)(const char *, int, ...);                                                          \
+        if (!real)                                                                                           \
+            real = dlsym(RTLD_NEXT, #name);                                                                  \
+        va_list arguments;                                                                                   \
+        va_start(arguments, flags);                                                                          \
+        int mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(arguments, int) : 0;                               \
+        va_end(arguments);                                                                                   \
+        if (is_configuration(path) && INJECTS(open_failures))                                                \
+            return FAIL_WITH(ENFILE, EMFILE, ENOMEM);                                                        \
+        return real(path, flags, mode);                                                                      \
     }
 
 DEFINE_OPEN(open)
@@ -262,7 +266,8 @@
 
 /* --- the wall clock */
 
-/* clock_gettime(2): CLOCK_REALTIME may be set, forward or back; the monotonic clock may not. */
+/* clock_gettime(2) returns the stepped time of CLOCK_REALTIME, which may be set forward or back. The
+ * monotonic clock can't be set, so it does not step. */
 int clock_gettime(clockid_t clock, struct timespec *now) {
     REAL(clock_gettime);
     int result = real(clock, now);
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -1,4 +1,4 @@
-"""Builds `shim.c` and writes its control file: failing system calls, and a stepped wall clock."""
+"""Compiles `shim.c` and writes its control file, which selects failing system calls and a clock step."""
 
 import subprocess
 from dataclasses import astuple, dataclass
@@ -11,13 +11,14 @@
 
 @dataclass
 class ShimControl:
-    """What the shim does: the fields of `struct control` in shim.c, in their order.
+    """The faults that the shim injects: the fields of `struct control` in shim.c, in the same order.
 
     Attributes:
-        offset_before_s: added to the wall clock before the step.
-        offset_after_s: added to it from the step on.
-        step_at_unix_s: when the wall clock steps, by the machine's own one.
-        accept_failures: this and the others are shares of calls, from 0 to 1; shim.c says how each fails.
+        offset_before_s: Offset of the wall clock before the step.
+        offset_after_s: Offset of the wall clock from the step on.
+        step_at_unix_s: Unix time of the step, by the machine's wall clock.
+        accept_failures: Like all fields after it, the share of calls that fail, from 0 to 1; shim.c documents
+            which calls fail, and how.
     """
 
     offset_before_s: float = 0.0
@@ -34,7 +35,7 @@
     open_failures: float = 0.0
 
     def write(self, path: Path) -> None:
-        """Write the control file in place: the shim has it mapped."""
+        """Overwrite the control file in place, as the shim has it mapped."""
         values = astuple(self)
         data = Struct(f"@{len(values)}d").pack(*values)
         with path.open("r+b" if path.exists() else "wb") as file:
@@ -42,7 +43,7 @@
 
 
 def build_shim(folder: Path) -> Path:
-    """Compile the shim with the machine's C compiler; returns the library's path.
+    """Compile the shim with the machine's C compiler, and return the path of the library.
 
     Raises:
         subprocess.CalledProcessError: The compiler failed.
--- a/soak/worker_changes.py
+++ b/soak/worker_changes.py
@@ -1,4 +1,4 @@
-"""Changes of worker slots that endpoint events announce: drains, ends and starts of their processes."""
+"""Changes of worker slots that are published as endpoint events: drains, removals and starts of workers."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 async def drain_and_replace(cluster: Cluster, slot: WorkerSlot, drain_s: float, new_name: str) -> None:
-    """Drain a worker, end it, and start another process at its address, under its name or a new one."""
+    """Drain a worker, kill it, and start another process in its slot, under its name or a new one."""
     old = slot.incarnation
     slot.process.request_drain()
     old.drain_notified_at = await cluster.endpoints.publish(slot.endpoint(EndpointPhase.DRAINING))
@@ -20,5 +20,5 @@
 
 
 async def publish_ready(cluster: Cluster, slot: WorkerSlot) -> None:
-    """Announce a new process, and record from when on each router counts as notified of it."""
+    """Publish that a worker is ready, and record the time from which each router counts as notified of it."""
     slot.incarnation.ready_notified_at = await cluster.endpoints.publish(slot.endpoint(EndpointPhase.READY))
--- a/soak/worker_rules.py
+++ b/soak/worker_rules.py
@@ -1,4 +1,4 @@
-"""The rules on work that routers send to workers: drains, slow starts, and start orders."""
+"""Rules on the work that routers send to workers: drains, slow starts, and the rate of start orders."""
 
 import math
 from bisect import bisect_left, bisect_right
@@ -10,19 +10,22 @@
 from soak.rules import MEASUREMENT_SLACK_S, Rule, Violation
 from soak.run_record import RouterIncarnation, WorkerIncarnation
 
-DRAIN_GRACE_S = 1.0 + 0.05  # after the notification of a drain
-START_ORDER_TOLERANCE = 1.15  # times the rate limit, plus one
-NOTIFIED_SHARE = 2 / 3  # of a window; an overload counts if more of it came from notified routers
+DRAIN_GRACE_S = 1.0 + 0.05  # from the notification of a drain to the last new work
+START_ORDER_TOLERANCE = 1.15  # factor on the rate limit, plus one start order
 
-# Sampling noise on top of the budget of a worker in slow start: so many standard deviations, plus as many
-# requests. A small budget gets a wider margin.
+# An overload is a violation only if more than this share of the requests came from routers that had been
+# notified of the worker's start.
+NOTIFIED_SHARE = 2 / 3
+
+# Allowance for sampling noise above the budget of a worker in slow start: a number of standard deviations,
+# plus the same number of requests. A small budget gets a wider margin.
 SMALL_BUDGET = 30.0
 SMALL_BUDGET_DEVIATIONS = 3
 LARGE_BUDGET_DEVIATIONS = 2
 
 
 def check_workers(history: RunHistory) -> Iterator[Violation]:
-    """All violations of the rules on workers."""
+    """Check the rules on workers."""
     yield from _check_drains(history)
     for incarnation in history.record.worker_incarnations:
         if incarnation.is_in_slow_start:
@@ -31,7 +34,7 @@
 
 
 def _check_drains(history: RunHistory) -> Iterator[Violation]:
-    """No new work from a router that was notified of a drain, until the slot's next incarnation."""
+    """Check that a router notified of a drain sends no new work until the slot's next incarnation starts."""
     incarnations = history.record.worker_incarnations
     for incarnation in incarnations:
         if incarnation.drain_notified_at:
@@ -54,7 +57,7 @@
 
 
 def _new_work(history: RunHistory, worker: int) -> list[tuple[float, int]]:
-    """The times at which new work began to arrive at a worker slot, with the router it came from; sorted."""
+    """Return the arrival times of the first bytes of new work at a worker slot, with its router; sorted."""
     work: list[AttemptSeen | StartOrderSeen] = [
         *history.attempts_at(worker),
         *history.start_orders_at(worker),
@@ -63,7 +66,7 @@
 
 
 def _check_slow_start(history: RunHistory, incarnation: WorkerIncarnation) -> Iterator[Violation]:
-    """No overload of a worker in slow start by routers that were notified of it; reports the first one."""
+    """Check that notified routers do not overload a worker in slow start; report only the first overload."""
     started_at = incarnation.started_at
     arrivals = sorted(
         (each.at, each.router)
@@ -84,7 +87,7 @@
 
 
 def slow_start_limit(age_s: float) -> float:
-    """The most requests that a worker of this age may get in a window, including sampling noise."""
+    """Return the maximum number of requests in a window for a worker of this age, with sampling noise."""
     share = min(
         1.0, site.SLOW_START_INITIAL_SHARE + (1 - site.SLOW_START_INITIAL_SHARE) * age_s / site.SLOW_START_S
     )
@@ -94,7 +97,7 @@
 
 
 def _check_start_orders(history: RunHistory) -> Iterator[Violation]:
-    """No more start orders in a window than the burst and the share of its requests allow."""
+    """Check that the start orders in a window stay within the burst plus a share of its requests."""
     sent_times = history.sent_times_by_router()
     for incarnation in history.record.router_incarnations:
         sent = sent_times.get(incarnation.router, [])
--- a/soak/worker_slot.py
+++ b/soak/worker_slot.py
@@ -1,4 +1,4 @@
-"""A worker slot of the cluster: an address at the proxy, and the worker processes behind it over time."""
+"""A worker slot of the cluster: a set of proxy ports, and the successive worker processes behind them."""
 
 import asyncio
 import time
@@ -10,13 +10,13 @@
 
 
 class WorkerSlot:
-    """One slot: its current worker process, and its incarnations so far.
+    """The current worker process of a slot, and the slot's incarnations so far.
 
-    It owns the processes; the cluster has it clean up at the end of the run.
+    The slot owns its processes; the cluster calls `clean_up` at the end of the run.
 
     Attributes:
-        number: which of the cluster's slots it is.
-        incarnations: oldest first, with the current one last.
+        number: The number of the slot.
+        incarnations: The incarnations, oldest first, with the current one last.
     """
 
     def __init__(self, number: int, proxy: ModuleProcess) -> None:
@@ -29,24 +29,24 @@
 
     @property
     def incarnation(self) -> WorkerIncarnation:
-        """The current incarnation or, while there is none, the last one."""
+        """Return the current incarnation or, while there is none, the last one."""
         return self.incarnations[-1]
 
     @property
     def process(self) -> ModuleProcess:
-        """The process of the current incarnation."""
+        """Return the process of the current incarnation."""
         return self._processes[-1]
 
     def endpoint(self, phase: EndpointPhase) -> Endpoint:
-        """The current worker as an endpoint event describes it."""
+        """Return the current worker in the form of an endpoint event."""
         return Endpoint(self.incarnation.name, self.number, phase, self._started_at_ms)
 
     async def start(self, name: str, *, is_in_slow_start: bool) -> None:
-        """Start a process, and have the proxy forward to it.
+        """Start a process, and make the proxy forward to it.
 
         Args:
-            name: the worker's name in endpoint events.
-            is_in_slow_start: False for one that counts as started long ago.
+            name: The worker's name in endpoint events.
+            is_in_slow_start: Whether the worker gets a slow start; False if it counts as started long ago.
         """
         process = await ModuleProcess.start("soak.worker")
         self._processes.append(process)
@@ -58,25 +58,25 @@
         await self.forward()
 
     async def kill(self) -> None:
-        """Kill the process, and have the proxy refuse connections for it."""
+        """Kill the process, and make the proxy refuse connections to the slot."""
         self.process.kill()
         await self.refuse_connections()
 
     async def forward(self, *, corrupted_share: float = 0.0, reset_connections: bool = False) -> None:
-        """Have the proxy forward to the current process.
+        """Make the proxy forward to the current process.
 
         Args:
-            corrupted_share: the share of reads from the worker that the proxy corrupts.
-            reset_connections: whether it resets the connections that are open now.
+            corrupted_share: The share of reads from the worker that the proxy corrupts.
+            reset_connections: Whether the proxy resets the connections that are open now.
         """
         await self._proxy.send_command(
             ProxyCommand(self.number, self._port, corrupted_share, reset_connections=reset_connections)
         )
 
     async def refuse_connections(self) -> None:
-        """Have the proxy reset the connections to this slot and refuse new ones."""
+        """Make the proxy reset the connections to this slot and refuse new ones."""
         await self._proxy.send_command(ProxyCommand(self.number, None))
 
     async def clean_up(self) -> None:
-        """End the processes of all incarnations, and wait until they have ended."""
+        """Kill the processes of all incarnations, and wait until they have exited."""
         await asyncio.gather(*(process.clean_up() for process in self._processes))
