--- a/soak/bad_clients.py
+++ b/soak/bad_clients.py
@@ -1,4 +1,7 @@
-"""Clients that violate the protocol: the router owes each a rejection, an error or a close within 3 s."""
+"""Clients that violate the protocol, to which a router must respond in 3 s.
+
+A rejection, an error and a closed connection count as responses.
+"""
 
 import asyncio
 import random
@@ -10,10 +13,10 @@
 from soak.records import BadClientSeen, Recorder
 from soak.thrift_messages import END_OF_STRUCT, encode_cancel, encode_request
 
-RESPONSE_TIMEOUT_S = 4.0  # longer than the router may take, so that the checker sees how late it is
+RESPONSE_TIMEOUT_S = 4.0  # longer than a router may take, so that the record shows how late a response is
 NOISE_BYTES = 300
 CANCEL_COUNT = 300
-MAX_SIZE = 2**31 - 1  # of a frame, as its header can state it
+MAX_SIZE = 2**31 - 1  # maximum length that the header of a frame can state
 NEGATIVE_SIZE = b"\xff\xff\xff\xf0"
 VALID_FIELDS = {
     "op": "view",
@@ -30,7 +33,7 @@
 
 
 def _make_messages(rng: random.Random) -> dict[str, bytes]:
-    """What each kind of bad client sends."""
+    """Return what each kind of bad client sends."""
     valid = _encode_request()
     invalid_class = _encode_request(op="nothing")
     return {
@@ -51,7 +54,7 @@
 
 
 async def run_bad_client(router: int, port: int, recorder: Recorder, rng: random.Random) -> None:
-    """Connect, send, and record whether the router has answered or closed in time."""
+    """Connect and send a message; record whether the router answers or closes the connection in time."""
     kind, message = rng.choice(list(_make_messages(rng).items()))
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/soak/client_connections.py
+++ b/soak/client_connections.py
@@ -1,20 +1,20 @@
-"""The clients' connections to all routers: reused ones, idle ones, and abandoned ones."""
+"""The clients' connections to the routers, which are reused, left open without use, or closed when idle."""
 
 import random
 import time
 
 from soak.thrift_client import ThriftConnection
 
-MAX_PENDING_REQUESTS = 32  # on a connection, which then gets no more
-MAX_IDLE_S = 4.0  # until the client closes the connection
-REUSABLE_SHARE = 0.5  # of extra connections; the others stay open, but are never used again
+MAX_PENDING_REQUESTS = 32  # per connection
+MAX_IDLE_S = 4.0  # from the last use of a connection until the client closes it
+REUSABLE_SHARE = 0.5  # share of extra connections that are reused; the others only stay open
 
 
 class ClientConnections:
-    """Opens and reuses connections; it owns all of them except private ones, which the caller closes."""
+    """Opens and reuses connections; owns all of them except private ones, which the caller closes."""
 
     def __init__(self, rng: random.Random, min_per_router: int) -> None:
-        """Open connections until there are `min_per_router` to each router that gets requests."""
+        """Keep at least `min_per_router` connections to each router that gets requests."""
         self._rng = rng
         self._min_per_router = min_per_router
         self._reusable: dict[int, list[ThriftConnection]] = {}  # by port
@@ -26,13 +26,13 @@
         """Return a connection for one request.
 
         Args:
-            port: of the router.
-            is_new: open one, also where another could be used again.
-            is_private: open one that no other request shares.
-            may_connect: whether to open one at all.
+            port: The port of the router.
+            is_new: Whether to open a connection even if an open one could be reused.
+            is_private: Whether to open a connection that no other request shares.
+            may_connect: Whether a connection may be opened; if not, only an open one is returned.
 
         Raises:
-            OSError: The router does not accept a connection, or none is open where none may be opened.
+            OSError: The router does not accept a connection, or none is open and none may be opened.
         """
         self._close_idle(port)
         reusable = self._reusable.setdefault(port, [])
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,6 +1,7 @@
-"""All clients of a run, as one process: open-loop requests, cancellations, early closes, and bad clients.
+"""The process of all clients of a run: open-loop requests, cancellations, early closes, and bad clients.
 
-Commands come as JSON lines on standard input; it ends with the input, once no request is pending.
+The process reads commands as JSON lines from standard input. It exits at the end of the input, once no
+request is pending.
 """
 
 import asyncio
@@ -15,12 +16,12 @@
 from soak.records import Recorder
 from soak.request_client import RequestClient, Target, draw_request
 
-RATE_POLL_S = 0.05  # while the rate is 0
-CLEANUP_DELAY_S = 0.1  # for the tasks of closed connections to end
+RATE_POLL_S = 0.05  # between checks for a new rate while the rate is 0
+CLEANUP_DELAY_S = 0.1  # for the tasks of closed connections to finish
 
 
 class Clients:
-    """Open-loop arrivals: the rate of requests doesn't depend on how fast the routers answer."""
+    """An open-loop load generator: its request rate doesn't depend on how fast the routers answer."""
 
     def __init__(
         self, recorder: Recorder, function_count: int, seed: int, connections_per_router: int
@@ -35,15 +36,15 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def apply(self, command: ClientsCommand) -> None:
-        """Follow a command from now on."""
+        """Replace the current command."""
         self._command = command
 
     async def run_requests(self) -> None:
-        """Start requests at random times until cancelled."""
+        """Start requests at random times until the task is cancelled."""
         await self._run_arrivals(lambda: self._command.requests_per_s, self._request)
 
     async def run_bad_clients(self) -> None:
-        """Start bad clients at random times until cancelled."""
+        """Start bad clients at random times until the task is cancelled."""
         await self._run_arrivals(lambda: self._command.bad_clients_per_s, self._connect_bad_client)
 
     async def finish(self) -> None:
@@ -56,7 +57,7 @@
     async def _run_arrivals(
         self, get_rate: Callable[[], float], start: Callable[[int], Coroutine[None, None, None]]
     ) -> None:
-        """Start work at random routers, as a Poisson process with the current rate."""
+        """Call `start` with random routers, as a Poisson process with the current rate."""
         while True:
             rate = get_rate()
             await asyncio.sleep(self._rng.expovariate(rate) if rate else RATE_POLL_S)
@@ -67,7 +68,7 @@
                 task.add_done_callback(self._tasks.discard)
 
     async def _request(self, router: int) -> None:
-        """Send one request; retry it once if its connection closed just as it was sent."""
+        """Send a request; retry it once if its connection closed right after the request was sent."""
         request = draw_request(self._rng, self._functions, self._weights)
         may_connect = router not in self._command.open_only
         target = Target(router, self._command.ports[router], may_connect)
@@ -87,7 +88,7 @@
 
 
 async def main(function_count: int, seed: int, connections_per_router: int, record_path: Path) -> None:
-    """Follow the commands until standard input ends, then wait for the pending requests."""
+    """Run the clients until standard input ends, then wait for the pending requests."""
     recorder = Recorder(record_path)
     clients = Clients(recorder, function_count, seed, connections_per_router)
     arrivals = [asyncio.create_task(clients.run_requests()), asyncio.create_task(clients.run_bad_clients())]
--- a/soak/commands.py
+++ b/soak/commands.py
@@ -1,6 +1,6 @@
-"""Commands to the processes of the soak test: JSON lines on their standard input.
+"""Commands to the clients and the proxy, sent as JSON lines on their standard input.
 
-A command replaces the previous one: it states everything that the receiver does from then on.
+A command is the complete desired state of the receiver, and replaces the previous command.
 """
 
 import asyncio
@@ -13,28 +13,28 @@
 
 
 class ClientsCommand(Struct, frozen=True):
-    """What the clients do from now on."""
+    """The desired state of the clients."""
 
-    ports: list[int]  # of the routers; 0 where clients are kept away
+    ports: list[int]  # of the routers, by number; 0 for a router that clients avoid
     requests_per_s: float
     bad_clients_per_s: float = 0.0
-    open_only: list[int] = []  # routers to which clients open no connection, but use those that they have
+    open_only: list[int] = []  # routers to which clients use open connections, but open none
 
 
 class ProxyCommand(Struct, frozen=True):
-    """What the proxy does in front of a worker slot from now on."""
+    """The desired state of the proxy for one worker slot."""
 
     worker: int
-    target_port: int | None  # None: connections are reset and new ones refused
-    corrupted_share: float = 0.0  # of the reads from the worker
-    reset_connections: bool = False  # once, as the command arrives
+    target_port: int | None  # of the worker; None to reset connections and refuse new ones
+    corrupted_share: float = 0.0  # share of the reads from the worker that are corrupted
+    reset_connections: bool = False  # whether to reset open connections once, when the command arrives
 
 
 CommandT = TypeVar("CommandT", ClientsCommand, ProxyCommand)
 
 
 async def read_commands(kind: type[CommandT]) -> AsyncIterator[CommandT]:
-    """The commands of this kind, until standard input ends."""
+    """Yield the commands of this type until standard input ends."""
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
--- a/soak/endpoint_events.py
+++ b/soak/endpoint_events.py
@@ -1,15 +1,15 @@
-"""Endpoint events of a run, and their translation to the JSON of the operator's endpoint log."""
+"""The endpoint events of a run, and their conversion to the JSON of the operator's endpoint log."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import StrEnum
 from typing import Any
 
-ENDPOINT_SIZE = 1  # the relative capacity of a worker: all of them are alike
+ENDPOINT_SIZE = 1  # relative capacity, which is the same for all workers
 
 
 class EndpointPhase(StrEnum):
-    """The state of a worker in the endpoint log; the values are those on the wire."""
+    """The state of a worker in the endpoint log; the values are sent to the routers."""
 
     READY = "in_service"
     DRAINING = "terminating"
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A worker as an endpoint event describes it.
+    """The state of a worker in an endpoint event.
 
     Attributes:
-        name: identifies the worker; it survives a restart of its process.
-        slot: the worker slot, from which each router's address of the worker follows.
-        phase: whether it takes requests.
-        started_at_ms: Unix time at which it started; 0 for one that started long ago.
+        name: The worker's identity, which outlives a restart of its process.
+        slot: The number of the worker slot, which determines the worker's address for each router.
+        phase: Whether the worker is ready, draining or removed.
+        started_at_ms: The Unix time of the worker's start; 0 for one that counts as started long ago.
     """
 
     name: str
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEvent:
-    """Endpoints that have changed or, if `is_complete`, the list of all endpoints."""
+    """A list of changed endpoints or, if `is_complete`, of all endpoints."""
 
     sequence: int
     endpoints: tuple[Endpoint, ...]
     is_complete: bool
 
     def to_wire(self, ports_by_slot: Sequence[int]) -> dict[str, Any]:
-        """The event as JSON of the log, for a router that reaches the worker slots at these ports."""
+        """Return the event as JSON of the log, for a router that reaches the worker slots at these ports."""
         members = [
             {
                 "id": endpoint.name,
--- a/soak/endpoint_feed.py
+++ b/soak/endpoint_feed.py
@@ -1,4 +1,4 @@
-"""The endpoint events of a run, served to each router by an endpoint log of its own."""
+"""The endpoint events of a run, which each router gets from an endpoint log of its own."""
 
 import time
 from collections.abc import Sequence
@@ -11,14 +11,14 @@
 
 
 class EndpointFeed:
-    """All events so far, and the log servers, one for each router, that publish them.
+    """Stores all events, and publishes them through a log server for each router.
 
     Attributes:
-        servers: the endpoint log of each router.
+        servers: The endpoint log of each router; the index is the router's number.
     """
 
     def __init__(self, proxy_ports: Sequence[Sequence[int]], ports: PortAllocator) -> None:
-        """Serve events to routers that reach worker slots at `proxy_ports`, by router and slot."""
+        """Create a log server for each router; `proxy_ports` are the ports of the worker slots, by router."""
         self._proxy_ports = proxy_ports
         self._events: list[EndpointEvent] = []
         self.servers = [
@@ -28,17 +28,17 @@
 
     @property
     def last_sequence(self) -> int:
-        """The sequence number of the last event."""
+        """Return the sequence number of the last event."""
         return self._events[-1].sequence
 
     async def start(self, endpoints: Sequence[Endpoint]) -> None:
-        """Listen, with the complete list of endpoints as the first event."""
+        """Start all servers, with the complete list of endpoints as the first event."""
         self._append_event(endpoints, is_complete=True)
         for server in self.servers:
             await server.start()
 
     async def publish(self, endpoint: Endpoint) -> dict[int, float]:
-        """Publish a change of one endpoint; return, by router, the time from which it counts as notified."""
+        """Publish a changed endpoint; return, by router, the time from which it counts as notified."""
         self._append_event([endpoint], is_complete=False)
         now = time.monotonic()
         notified_at = {router: server.notified_at(now) for router, server in enumerate(self.servers)}
@@ -47,11 +47,11 @@
         return notified_at
 
     def events_for(self, router: int) -> list[dict[str, Any]]:
-        """All events so far, as the log of this router sends them."""
+        """Return all events in the form in which the log of this router sends them."""
         return [self._to_wire(event, router=router) for event in self._events]
 
     async def close(self) -> None:
-        """Stop listening, and end all connections."""
+        """Stop all servers, and close their connections."""
         for server in self.servers:
             await server.close()
 
--- a/soak/endpoint_log.py
+++ b/soak/endpoint_log.py
@@ -1,10 +1,12 @@
-"""The endpoint log of one router: numbered events over TCP, with the faults that such a log may have.
+"""The endpoint log of one router: numbered events over TCP, with injected faults.
 
-A router connects and sends the number of the last event that it knows. It gets the events after that, each as
-a line of JSON, and a line with the last event's number after them and at every heartbeat.
+A router connects and sends the sequence number of the last event that it knows. The log sends the later
+events, each as a line of JSON, then a heartbeat line with the sequence number of the last event, and repeats
+the heartbeat at an interval.
 
-An event counts as notified when it is published. While the log is out of reach, it counts no earlier than a
-while after that began: 2 s after a break, and 4 s after the log fell silent or moved.
+A router normally counts as notified of an event from its publication on. During a fault of the log, it counts
+as notified no earlier than 2 s after the start of the fault if connections broke, or 4 s if the log fell
+silent or moved.
 """
 
 import asyncio
@@ -20,34 +22,35 @@
 
 HEARTBEAT = b'{"seq":%d}\n'
 HEARTBEAT_S = 1.0
-OLD_PORT_CLOSE_DELAY_S = 1.5  # after a move, until connections to the old port are closed
-NOTIFIED_AFTER_BREAK_S = 2.0
-NOTIFIED_AFTER_SILENCE_S = 4.0
-TRICKLE_INTERVAL_S = 0.4  # between the bytes of a log that sends one now and then
-SEQUENCES_AHEAD = 5
-FLAP_DOWN_S = 2.5  # of a log that comes back for a moment again and again
-FLAP_UP_S = 0.4
-
-# What the first line of a router is split into: a word, and the number of the last event that it knows.
+OLD_PORT_CLOSE_DELAY_S = 1.5  # from a move until connections to the old port are closed
+NOTIFIED_AFTER_BREAK_S = 2.0  # from the break of connections until a router counts as notified
+NOTIFIED_AFTER_SILENCE_S = 4.0  # the same for a log that falls silent or moves
+TRICKLE_INTERVAL_S = 0.4  # between the single bytes of a log that trickles
+SEQUENCES_AHEAD = 5  # number of missing events that a heartbeat announces
+FLAP_DOWN_S = 2.5  # how long a log that flaps refuses connections at a time
+FLAP_UP_S = 0.4  # how long it works in between
+
+# The router's request is a word and the sequence number of the last event that it knows; this is the index of
+# the number.
 KNOWN_SEQUENCE_INDEX = 1
 
 
 class LogFailure(Enum):
-    """How a log is out of reach for long."""
+    """The ways in which a log fails during a long outage; a plan depends on their order."""
 
-    REFUSES = auto()  # its connections are ended, and new ones refused
-    IS_SILENT = auto()  # it accepts connections and sends nothing
-    TRICKLES = auto()  # it sends a byte now and then
-    ANNOUNCES_MISSING_EVENTS = auto()  # its heartbeats announce events that it doesn't send
-    IS_BEHIND = auto()  # its heartbeats announce an old number
-    FLAPS = auto()  # it refuses connections, and comes back for a moment again and again
+    REFUSES = auto()  # closes its connections, and refuses new ones
+    IS_SILENT = auto()  # accepts connections, but sends nothing
+    TRICKLES = auto()  # sends a single byte at an interval
+    ANNOUNCES_MISSING_EVENTS = auto()  # sends heartbeats with numbers of events that it doesn't send
+    IS_BEHIND = auto()  # sends heartbeats with an old number
+    FLAPS = auto()  # alternates between refusing connections and working for a short time
 
 
 class EndpointLogServer:
-    """Serves the list of events that all routers share; the feed owns the server and closes it.
+    """Serves a list of events to one router; the feed owns the server and closes it.
 
     Attributes:
-        port: where it listens now.
+        port: The port on which the server listens, or will listen again.
     """
 
     def __init__(
@@ -56,35 +59,35 @@
         to_wire: Callable[[EndpointEvent], dict[str, Any]],
         ports: PortAllocator,
     ) -> None:
-        """Serve `events`, each as `to_wire` makes it for this router, at a port of the range."""
+        """Serve `events`, which other servers share, as converted by `to_wire` for this router."""
         self.port = 0
         self._events = events
         self._to_wire = to_wire
         self._ports = ports
         self._is_silent = False
         self._failure: LogFailure | None = None
-        self._earliest_notified_at = 0.0  # monotonic seconds; an event counts as notified no earlier
+        self._earliest_notified_at = 0.0  # monotonic seconds; no event counts as notified earlier
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
         self._published = asyncio.Condition()
 
     def notified_at(self, published_at: float) -> float:
-        """From when on the router counts as notified of an event that is published now."""
+        """Return the time from which the router counts as notified of an event that is published now."""
         return max(published_at, self._earliest_notified_at)
 
     async def start(self) -> None:
-        """Listen, on the same port as before unless the log has moved, and if it doesn't refuse that now."""
+        """Listen on the previous port, or on a new one after a move, unless the log refuses connections."""
         self.port = self.port or self._ports.allocate()
         if self._failure is not LogFailure.REFUSES and self._server is None:
             self._server = await listen(self._serve, self.port)
 
     async def publish(self) -> None:
-        """Send the events that were added to the list."""
+        """Wake all connections, so that they send the events that were added to the list."""
         async with self._published:
             self._published.notify_all()
 
     async def move(self) -> None:
-        """Move to another port; connections to the old one get nothing more, and are closed later."""
+        """Move to another port; stop sending on connections to the old port, and close them later."""
         self._delay_notifications(NOTIFIED_AFTER_SILENCE_S)
         old_server = self._server
         old_connections = list(self._connections)
@@ -97,7 +100,7 @@
             asyncio.get_running_loop().call_later(OLD_PORT_CLOSE_DELAY_S, connection.cancel)
 
     async def stay_silent(self, seconds: float) -> None:
-        """Stay connected and send nothing for a while."""
+        """Keep connections open, but send nothing for a time."""
         self._delay_notifications(NOTIFIED_AFTER_SILENCE_S)
         self._is_silent = True
         await asyncio.sleep(seconds)
@@ -105,14 +108,14 @@
         await self.publish()
 
     async def refuse_connections(self, seconds: float) -> None:
-        """End all connections, and refuse new ones for a while."""
+        """Close all connections, and refuse new ones for a time."""
         self._delay_notifications(NOTIFIED_AFTER_BREAK_S)
         self._end_connections()
         await asyncio.sleep(seconds)
         await self.start()
 
     async def fail(self, failure: LogFailure, seconds: float) -> None:
-        """Be out of reach in one way for long, then work again."""
+        """Fail in one way for a time, then work again."""
         if failure is LogFailure.FLAPS:
             await self._flap(seconds)
         elif failure is LogFailure.REFUSES:
@@ -133,7 +136,7 @@
             await asyncio.sleep(FLAP_UP_S)
 
     async def close(self) -> None:
-        """Stop listening, and end all connections."""
+        """Stop listening, and close all connections."""
         self._end_connections()
         await asyncio.sleep(0)
 
@@ -145,7 +148,7 @@
             connection.cancel()
 
     def _delay_notifications(self, seconds: float) -> None:
-        """Have events count as notified no earlier than this long after now."""
+        """Let events count as notified no earlier than `seconds` from now."""
         self._earliest_notified_at = max(self._earliest_notified_at, time.monotonic() + seconds)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -166,7 +169,7 @@
     async def _send_events(
         self, writer: asyncio.StreamWriter, known_sequence: int, server: asyncio.Server | None
     ) -> None:
-        """Send events as they are published, as long as `server` is the one that listens."""
+        """Send events as they are published, but nothing once `server` no longer listens, after a move."""
         while not writer.is_closing():
             if server is self._server and not self._is_silent:
                 known_sequence = self._send_update(writer, known_sequence)
@@ -179,7 +182,7 @@
                     continue
 
     def _send_update(self, writer: asyncio.StreamWriter, known_sequence: int) -> int:
-        """Send what is new and a heartbeat, or what a log that fails sends; return the last number sent."""
+        """Send new events and a heartbeat, or what the failure prescribes; return the last number sent."""
         last_sequence = self._events[-1].sequence
         match self._failure:
             case LogFailure.IS_SILENT | LogFailure.REFUSES:
--- a/soak/errors.py
+++ b/soak/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the soak test itself; a router that misbehaves is a rule violation, not an error."""
+"""Errors of the soak test itself. Misbehaviour of a router is a rule violation, not an error."""
 
 from function_router.errors import FunctionRouterError
 
@@ -8,8 +8,8 @@
 
 
 class NoFreePortError(SoakTestError):
-    """All ports of a range have been handed out or are in use."""
+    """All ports of a range are allocated or in use."""
 
 
 class ProcessStartError(SoakTestError):
-    """A process of the soak test ended before it printed where it listens."""
+    """A process of the soak test exited before it printed the port on which it listens."""
--- a/soak/frame_tap.py
+++ b/soak/frame_tap.py
@@ -1,4 +1,4 @@
-"""Finds the frames in one direction of a connection that the proxy forwards."""
+"""Decodes the frames in one direction of a connection that the proxy forwards."""
 
 import time
 from typing import NamedTuple
@@ -7,21 +7,21 @@
 
 
 class TappedFrame(NamedTuple):
-    """A frame, and when its first byte arrived, in monotonic seconds."""
+    """A frame, and the arrival time of its first byte in monotonic seconds."""
 
     first_byte_at: float
     frame: frames.Frame
 
 
 class FrameTap:
-    """Parses the bytes of one direction into frames; the proxy forwards them without waiting for it."""
+    """Decodes frames from a copy of the bytes; the proxy forwards them without waiting for whole frames."""
 
     def __init__(self, direction: int) -> None:
         self._reader = frames.FrameReader(direction)
         self._partial_since: float | None = None
 
     def feed(self, data: bytes) -> list[TappedFrame]:
-        """Return the frames that this data completes."""
+        """Process received data, and return the frames that it completes."""
         now = time.monotonic()
         tapped: list[TappedFrame] = []
         for frame in self._reader.feed(data):
--- a/soak/module_process.py
+++ b/soak/module_process.py
@@ -1,4 +1,4 @@
-"""A module of this package as a child process."""
+"""Runs a module of this package as a child process."""
 
 import asyncio
 import contextlib
@@ -13,13 +13,14 @@
 
 ROOT = Path(__file__).parent.parent
 START_TIMEOUT_S = 30.0
-MAX_LINE_BYTES = 1 << 20  # the proxy's first line has a port for each router and worker
+MAX_LINE_BYTES = 1 << 20  # the proxy's first line has a port for each pair of a router and a worker slot
 
 
 class ModuleProcess:
-    """A process that takes commands on its standard input, and exits when that is closed.
+    """A child process that reads commands from its standard input, and exits at the end of the input.
 
-    The caller owns it, and ends it with `finish` or `kill`.
+    The caller owns the process, and ends it with `finish`, `kill` or `clean_up`. A worker reads no commands,
+    and has to be killed.
     """
 
     def __init__(self, process: asyncio.subprocess.Process, module: str) -> None:
@@ -28,7 +29,7 @@
 
     @classmethod
     async def start(cls, module: str, *arguments: str) -> "ModuleProcess":
-        """Start a module with the interpreter of this run."""
+        """Start a module with the Python interpreter of the current process."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -42,11 +43,11 @@
         return cls(process, module)
 
     async def read_line(self) -> bytes:
-        """Read its next line of output, which says where it listens.
+        """Read the next line of the process's output, which states the ports on which it listens.
 
         Raises:
-            ProcessStartError: It ended without one.
-            TimeoutError: It was silent for `START_TIMEOUT_S`.
+            ProcessStartError: The process exited without a line.
+            TimeoutError: The process printed no line for `START_TIMEOUT_S`.
         """
         assert self._process.stdout
         line = await asyncio.wait_for(self._process.stdout.readline(), START_TIMEOUT_S)
@@ -55,13 +56,13 @@
         return line
 
     async def send_command(self, command: Struct) -> None:
-        """Send it a command."""
+        """Write a command to the process's standard input."""
         assert self._process.stdin
         self._process.stdin.write(msgspec.json.encode(command) + b"\n")
         await self._process.stdin.drain()
 
     async def finish(self, timeout_s: float) -> None:
-        """Close its input, and wait until it exits; kill it if it doesn't in time."""
+        """Close the standard input, and wait for the process to exit; kill it if that takes too long."""
         assert self._process.stdin
         self._process.stdin.close()
         try:
@@ -71,25 +72,25 @@
             await self._process.wait()
 
     def pause(self) -> None:
-        """Suspend it with SIGSTOP."""
+        """Suspend the process with SIGSTOP."""
         self._process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Resume it with SIGCONT."""
+        """Resume the process with SIGCONT."""
         with contextlib.suppress(ProcessLookupError):
             self._process.send_signal(signal.SIGCONT)
 
     def request_drain(self) -> None:
-        """Have a worker drain, with SIGUSR1."""
+        """Make a worker drain by sending SIGUSR1."""
         with contextlib.suppress(ProcessLookupError):
             self._process.send_signal(signal.SIGUSR1)
 
     def kill(self) -> None:
-        """Send SIGKILL, without waiting for the end."""
+        """Send SIGKILL without waiting for the exit."""
         with contextlib.suppress(ProcessLookupError):
             self._process.kill()
 
     async def clean_up(self) -> None:
-        """Kill it if it still runs, and wait until it has ended."""
+        """Kill the process if it still runs, and wait until it has exited."""
         self.kill()
         await self._process.wait()
--- a/soak/ports.py
+++ b/soak/ports.py
@@ -1,6 +1,7 @@
-"""Ports for listeners that stop and listen again, from outside the system's range of ephemeral ports.
+"""Ports for listeners that stop and later listen again.
 
-A connection could otherwise have taken the port by the time the listener returns to it.
+The ports are outside the system's range of ephemeral ports. An outgoing connection could otherwise occupy the
+port of a listener that has stopped.
 """
 
 import asyncio
@@ -17,10 +18,11 @@
 
 
 class PortAllocator:
-    """Hands out the ports of a range, each once, and none that another run on this machine holds.
+    """Allocates each port of a range once, except those that another run on this machine has allocated.
 
-    A listener starts some time after it got its port, and may stop for a while. To reserve the port until
-    then, an abstract Unix socket (unix(7)) is bound to a name of it, which the kernel releases at exit.
+    A listener may start long after the allocation of its port, and may stop for a time. An abstract Unix
+    socket (unix(7)), bound to a name with the port's number, reserves the port for the whole run. The kernel
+    releases the name when the process exits.
     """
 
     def __init__(self, ports: range) -> None:
@@ -28,11 +30,11 @@
         self._reservations: list[socket.socket] = []
 
     def allocate(self) -> int:
-        """Take a port that nobody listens on; raises NoFreePortError."""
+        """Return a port on which nothing listens, and reserve it; raise NoFreePortError if none is left."""
         for port in self._ports:
             if _is_bindable(port) and self._reserve(port):
                 return port
-        message = "no port is left in the range"
+        message = "all ports of the range are allocated or in use"
         raise NoFreePortError(message)
 
     def close(self) -> None:
@@ -56,7 +58,7 @@
 
 
 def _try_bind(sock: socket.socket, address: str | tuple[str, int]) -> bool:
-    """Bind a socket; False if the address is in use."""
+    """Bind a socket; return False if the address is in use."""
     try:
         sock.bind(address)
     except OSError as error:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,8 +1,8 @@
-"""The proxy between all routers and workers: it records frames for the checker, and injects faults.
+"""The proxy between all routers and workers, which records frames for the checker and injects faults.
 
-It listens on a port for each pair of a router and a worker slot, which is how it knows who connects. The
-first line on standard output has the ports, by router and worker slot; commands come as JSON lines on
-standard input.
+The proxy listens on a port for each pair of a router and a worker slot, so that the port identifies the
+router that connects. Its first line on standard output states the ports by router and worker slot. It reads
+commands as JSON lines from standard input.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
 from soak.records import AttemptSeen, Recorder, StartOrderSeen, WorkerAnswerSeen
 
 READ_BYTES = 65_536
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0 s
 
 
 class Route:
-    """The route from one router to one worker slot, and the open connections on it."""
+    """The route from a router to a worker slot: its port, and its open connections."""
 
     def __init__(self, router: int, worker: int) -> None:
         self.router = router
@@ -94,7 +94,7 @@
 
 
 class Proxy:
-    """Forwards all routes, and applies the latest command for each worker slot."""
+    """Forwards the connections of all routes as the latest command for each worker slot prescribes."""
 
     def __init__(self, router_count: int, worker_count: int, recorder: Recorder) -> None:
         self._routes = [
@@ -102,21 +102,21 @@
         ]
         self._recorder = recorder
         self._ports = PortAllocator(PROXY_PORTS)
-        self._commands: dict[int, ProxyCommand] = {}  # the latest one, by worker slot
+        self._commands: dict[int, ProxyCommand] = {}  # the latest command by worker slot
 
     @property
     def ports(self) -> list[list[int]]:
-        """The ports it listens on, by router and worker slot."""
+        """Return the ports by router and worker slot."""
         return [[route.port for route in routes] for routes in self._routes]
 
     async def listen(self) -> None:
-        """Listen for all routes."""
+        """Listen on the ports of all routes."""
         for routes in self._routes:
             for route in routes:
                 await self._listen(route)
 
     async def apply(self, command: ProxyCommand) -> None:
-        """Follow a command from now on."""
+        """Apply a command to all routes to its worker slot."""
         self._commands[command.worker] = command
         is_refusing = command.target_port is None
         for route in (routes[command.worker] for routes in self._routes):
@@ -132,7 +132,7 @@
         route.server = await listen(partial(self._serve, route), route.port)
 
     async def _serve(self, route: Route, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Forward a connection of a router in both directions until one of them ends."""
+        """Forward a router's connection in both directions until one direction ends."""
         route.connections.add(writer)
         try:
             port = self._commands[route.worker].target_port
@@ -168,10 +168,10 @@
         try:
             await forward(reader, writer, tap, record, lambda data: self._corrupt(route, data))
         except OSError:
-            reset(writer)  # as the worker's end did: the router sees no orderly close
+            reset(writer)  # passes the broken connection on to the router, instead of an orderly close
 
     def _corrupt(self, route: Route, data: bytes) -> bytes:
-        """Replace the bytes, for the corrupted share of reads, by noise, two copies, or their first half."""
+        """For the corrupted share of reads, return noise, the data twice, or its first half."""
         if random.random() >= self._commands[route.worker].corrupted_share:
             return data
         return random.choice((random.randbytes(len(data)), data + data, data[: len(data) // 2]))
@@ -184,7 +184,7 @@
     record: Callable[[TappedFrame], None],
     transform: Callable[[bytes], bytes] = bytes,
 ) -> None:
-    """Forward bytes until the end of the stream; frames are recorded as they were before `transform`.
+    """Forward bytes until the end of the stream, and record the frames as they were before `transform`.
 
     Raises:
         OSError: The connection of the reader broke.
@@ -200,7 +200,7 @@
     if sock := writer.get_extra_info("socket"):
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-        except OSError:  # it has closed
+        except OSError:  # the socket is closed already
             return
     writer.transport.abort()
 
--- a/soak/request_client.py
+++ b/soak/request_client.py
@@ -1,4 +1,4 @@
-"""One request of a client, from sending it to its answer, cancellation or close."""
+"""The client side of a request: sending it, and its answer, cancellation or lost connection."""
 
 import asyncio
 import random
@@ -16,28 +16,33 @@
 from soak.thrift_messages import ClientAnswer, encode_cancel, encode_request
 from soak.worker import served_body
 
-NEW_CONNECTION_SHARE = 0.1  # of requests, where they could share a connection
-CANCEL_SHARE = 0.05
-CLOSE_SHARE = 0.03
-MIN_TIMEOUT_SHARE = 0.5  # of the site's longest timeout
-MAX_ABANDON_ROOT = (
-    0.5  # a client leaves after a share of the timeout, the square of at most this: mostly soon
-)
-CLOSE_RACE_S = 0.05  # a connection that closes this soon after a request may not have seen it: retried once
-ANSWER_GRACE_S = 1.0  # after the timeout, until the client gives up
+NEW_CONNECTION_SHARE = 0.1  # share of requests that get a new connection though they could reuse one
+CANCEL_SHARE = 0.05  # share of requests that are cancelled if the answer takes long enough
+CLOSE_SHARE = 0.03  # share of requests whose connection is closed if the answer takes long enough
+MIN_TIMEOUT_SHARE = 0.5  # minimum timeout, as a share of the site's longest timeout
+
+# A client abandons a request after a share of its timeout: the square of a random number up to this. Squaring
+# makes most clients abandon their requests early.
+MAX_ABANDON_ROOT = 0.5
+
+# If a connection ends this soon after a request was sent on it, the router may have closed it without reading
+# the request, so that the client retries once.
+CLOSE_RACE_S = 0.05
+
+ANSWER_GRACE_S = 1.0  # wait for an answer after the timeout or a cancellation
 MAX_BODY_BYTES = 2_000
 
 
 class Abandonment(Enum):
-    """How a client leaves its request before the answer."""
+    """How a client abandons a request before the answer."""
 
-    NONE = auto()  # it waits for the answer
-    CANCEL = auto()  # it cancels the request
-    CLOSE = auto()  # it closes the connection
+    NONE = auto()  # waits for the answer
+    CANCEL = auto()  # sends a cancellation
+    CLOSE = auto()  # closes the connection
 
 
 class GeneratedRequest(Struct, frozen=True):
-    """A request; `fields` has its parts by their names on the wire."""
+    """A request with randomly drawn parameters."""
 
     request_id: str
     class_name: str
@@ -47,12 +52,12 @@
 
     @property
     def timeout_s(self) -> float:
-        """The timeout in seconds."""
+        """Return the timeout in seconds."""
         return self.timeout_ms / 1000
 
     @property
     def fields(self) -> dict[str, str]:
-        """The fields of its message."""
+        """Return the fields of the request's message, by their names on the wire."""
         fields = {
             "op": self.class_name,
             "call": self.request_id,
@@ -67,7 +72,7 @@
 
 
 def draw_request(rng: random.Random, functions: list[str], weights: list[float]) -> GeneratedRequest:
-    """Draw a request; functions are drawn by their weights."""
+    """Draw a request at random, with a function by the weights."""
     class_name = rng.choices(list(site.CLASS_SHARES), list(site.CLASS_SHARES.values()))[0]
     timeout_ms = int(site.MAX_TIMEOUT_MS * rng.uniform(MIN_TIMEOUT_SHARE, 1.0))
     return GeneratedRequest(
@@ -80,11 +85,11 @@
 
 
 class Target(Struct, frozen=True):
-    """A router that a request is sent to."""
+    """The router that a request is sent to."""
 
     router: int
     port: int
-    may_connect: bool = True  # False: only connections that are open already are used
+    may_connect: bool = True  # if False, the request can only use an open connection
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,12 +97,12 @@
     """A request that was sent on a connection.
 
     Attributes:
-        request: what was sent.
-        connection: where it was sent.
-        seqid: its number on the connection.
-        answer: fails with ConnectionEndedError.
-        sent_at: in monotonic seconds.
-        was_only_pending: whether no other request was pending on the connection.
+        request: The request.
+        connection: The connection on which it was sent.
+        seqid: Its sequence number on the connection.
+        answer: The future of its answer, which may fail with ConnectionEndedError.
+        sent_at: When it was sent, in monotonic seconds.
+        was_only_pending: Whether no other request was pending on the connection when it was sent.
     """
 
     request: GeneratedRequest
@@ -109,7 +114,7 @@
 
 
 class RequestClient:
-    """Sends requests, and records what becomes of each."""
+    """Sends requests, and records the result of each."""
 
     def __init__(self, connections: ClientConnections, recorder: Recorder, rng: random.Random) -> None:
         self._connections = connections
@@ -120,11 +125,11 @@
         """Send a request and wait until it is over.
 
         Returns:
-            Whether the client is to send it again, as its connection closed just as it was sent.
+            Whether the client should retry it, as its connection ended right after it was sent.
         """
         abandonment = self._draw_abandonment()
         if abandonment is Abandonment.CLOSE and not target.may_connect:
-            abandonment = Abandonment.NONE  # it would need a connection of its own
+            abandonment = Abandonment.NONE  # closing needs a private connection, which may not be opened
         closes_connection = abandonment is Abandonment.CLOSE
         is_new = is_retry or self._rng.random() < NEW_CONNECTION_SHARE
         try:
@@ -148,7 +153,7 @@
     def _record_lost_connection(
         self, sent: SentRequest, error: ConnectionEndedError, *, is_retry: bool
     ) -> bool:
-        """Record that a connection has ended before the answer; whether the client sends again."""
+        """Record that a connection ended before the answer; return whether the client should retry."""
         should_retry = sent.was_only_pending and error.at - sent.sent_at <= CLOSE_RACE_S and not is_retry
         self._recorder.add(
             ConnectionLost(sent.request.request_id, error.at, error.cause, is_retried=should_retry)
@@ -163,7 +168,7 @@
     def _write_request(
         self, request: GeneratedRequest, router: int, connection: ThriftConnection
     ) -> SentRequest:
-        """Send a request on a connection."""
+        """Send a request on a connection, and record that it was sent."""
         seqid = connection.next_seqid()
         answer = connection.expect_answer(seqid)
         was_only_pending = len(connection.pending) == 1
@@ -176,7 +181,7 @@
         return SentRequest(request, connection, seqid, answer, sent_at, was_only_pending=was_only_pending)
 
     async def _await_completion(self, sent: SentRequest, abandonment: Abandonment) -> None:
-        """Wait for the answer; a client that departs waits only for a part of the timeout."""
+        """Wait for the answer, or abandon the request after a share of its timeout."""
         if abandonment is not Abandonment.NONE:
             abandon_after_s = sent.request.timeout_s * self._rng.uniform(0.0, MAX_ABANDON_ROOT) ** 2
             done, _ = await asyncio.wait([sent.answer], timeout=abandon_after_s)
@@ -203,11 +208,11 @@
             sent.connection.send(encode_cancel(sent.seqid))
         self._recorder.add(ClientGone(sent.request.request_id, time.monotonic()))
         if abandonment is Abandonment.CANCEL:
-            # An answer that crossed the cancellation on the wire is not surplus.
+            # Wait for an answer that was sent before the cancellation arrived: it does not count as surplus.
             await asyncio.wait([sent.answer], timeout=ANSWER_GRACE_S)
 
     def _record_surplus(self, sent: SentRequest) -> None:
-        """Attribute surplus answers of a connection to this request, as they name none."""
+        """Attribute a connection's surplus answers, which identify no request, to this request."""
         if sent.connection.surplus_answers:
             request_id = sent.request.request_id
             self._recorder.add(RequestAnswered(request_id, time.monotonic(), AnswerKind.SURPLUS))
--- a/soak/router_config.py
+++ b/soak/router_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of a router in a run, by the keys of the operator's pages."""
+"""The configuration file of a router, with the keys that the operator's pages define."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -9,7 +9,7 @@
 from soak import site
 
 MEMORY_MB = 96
-SOCKETS = 256  # few, so that the router's limits on file descriptors matter
+SOCKETS = 256  # low, so that the router reaches its limits on file descriptors
 
 CLASSES = [
     {
@@ -50,16 +50,16 @@
 
 @dataclass
 class RouterConfig:
-    """What one router's configuration file says; times in it are milliseconds.
+    """The content of a router's configuration file, in which times are milliseconds.
 
     Attributes:
-        name: the router's name in its log.
-        port: where it listens for clients.
-        seed: of its random generator.
-        settings: the settings that all routers share.
-        endpoint_log_port: where its endpoint log listens now.
-        known_sequence: the last event that it knows from the start.
-        known_events: the events up to there, as its log would send them.
+        name: The router's name in its log.
+        port: The port on which the router listens for clients.
+        seed: The seed of the router's random generator.
+        settings: The settings that all routers share.
+        endpoint_log_port: The port on which the router's endpoint log listens.
+        known_sequence: The sequence number of the last event that the router knows at its start.
+        known_events: The events up to that number, in the form in which the endpoint log sends them.
     """
 
     name: str
@@ -71,7 +71,7 @@
     known_events: list[dict[str, Any]] = field(default_factory=list)
 
     def encode(self) -> bytes:
-        """The content of the configuration file."""
+        """Return the content of the file as JSON."""
         return msgspec.json.encode(
             {
                 "name": self.name,
@@ -86,7 +86,7 @@
 
 
 def make_settings(router_count: int, worker_count: int) -> dict[str, Any]:
-    """The settings that all routers of a run share."""
+    """Return the settings that all routers of a run share."""
     quota_rps = worker_count * site.WORKER_CAPACITY_RPS / len(site.TENANTS)
     return {
         "classes": CLASSES,
--- a/soak/router_slot.py
+++ b/soak/router_slot.py
@@ -1,4 +1,4 @@
-"""A router of the cluster, across the incarnations of its process."""
+"""A router of the cluster: its current process, and the record of all its incarnations."""
 
 import asyncio
 import os
@@ -17,27 +17,27 @@
 
 CONFIG_VARIABLE = "ROUTER_CONFIG"
 READY_TIMEOUT_S = 30.0
-READY_POLL_S = 0.02
+READY_POLL_S = 0.02  # between two status requests
 EXIT_TIMEOUT_S = 30.0  # after SIGKILL
-# SIGKILL follows SIGTERM after the longest timeout of a request, limited to the first of these, plus the
-# second; `function_router.net.drain` relies on both.
+# SIGKILL follows SIGTERM after the longest timeout of a request, but at most MAX_KILL_TIMEOUT_S, plus
+# KILL_GRACE_S. `function_router.net.drain` relies on both values.
 MAX_KILL_TIMEOUT_S = 3.0
 KILL_GRACE_S = 0.7
 LOG_READ_BYTES = 4096  # small, so that the pipe fills up soon while the log is not read
-LOG_POLL_S = 0.05  # while the log is not read
+LOG_POLL_S = 0.05  # between checks whether to read the log again
 
 
 class RouterSlot:
-    """One router: its configuration, its current process, and its incarnations so far.
+    """The configuration, the current process and the incarnations of a router.
 
-    It owns the process; the cluster has it clean up at the end of the run.
+    The slot owns its process; the cluster calls `clean_up` at the end of the run.
 
     Attributes:
-        number: which of the cluster's routers it is.
-        config: written to the configuration file by `start` and `reload`.
-        shim_control: what its shim does after the next `write_shim_control`.
-        incarnations: oldest first, with the current one last.
-        is_log_read: while False, nobody reads the log that the process writes.
+        number: The number of the router.
+        config: The configuration that `start` and `reload` write to the configuration file.
+        shim_control: The faults that the shim injects after the next `write_shim_control`.
+        incarnations: The incarnations, oldest first, with the current one last.
+        is_log_read: Whether the log that the process writes to standard error is read.
     """
 
     def __init__(self, number: int, folder: RunFolder, config: RouterConfig, shim: Path | None) -> None:
@@ -53,11 +53,11 @@
 
     @property
     def incarnation(self) -> RouterIncarnation:
-        """The current incarnation or, while the router is down, the last one."""
+        """Return the current incarnation or, while the router is down, the last one."""
         return self.incarnations[-1]
 
     async def start(self) -> None:
-        """Start an incarnation, and wait until it is ready, has ended, or `READY_TIMEOUT_S` have passed."""
+        """Start an incarnation, and wait until it is ready, has exited, or `READY_TIMEOUT_S` have passed."""
         self._write_config()
         self.write_shim_control()
         self.incarnations.append(RouterIncarnation(self.number, time.monotonic()))
@@ -75,16 +75,16 @@
         await self._wait_until_ready()
 
     def reload(self) -> None:
-        """Replace the configuration file, and have the process read it again."""
+        """Replace the configuration file, and make the process reload it with SIGHUP."""
         self._write_config()
         self._send_signal(signal.SIGHUP)
 
     def repeat_sigterm(self) -> None:
-        """Send SIGTERM to a process that drains already."""
+        """Send another SIGTERM to a process that already drains."""
         self._send_signal(signal.SIGTERM)
 
     def write_shim_control(self) -> None:
-        """Have the shim follow `shim_control`."""
+        """Write `shim_control` to the control file, so that the shim applies it."""
         self.shim_control.write(self._folder.shim_control(self.number))
 
     def pause(self) -> None:
@@ -96,13 +96,13 @@
         self._send_signal(signal.SIGCONT)
 
     async def kill(self) -> None:
-        """Send a planned SIGKILL, and wait for the end of the process."""
+        """Send a planned SIGKILL, and wait for the exit of the process."""
         self.incarnation.killed_at = time.monotonic()
         self._send_signal(signal.SIGKILL)
         await self._record_exit(EXIT_TIMEOUT_S)
 
     async def terminate(self) -> None:
-        """Send SIGTERM, then SIGKILL if it still runs after the longest timeout of a request and a margin."""
+        """Send SIGTERM, then SIGKILL if the process outlives the longest request timeout plus a margin."""
         self.incarnation.sigterm_at = time.monotonic()
         self._send_signal(signal.SIGTERM)
         if not await self._record_exit(min(site.MAX_TIMEOUT_MS / 1000, MAX_KILL_TIMEOUT_S) + KILL_GRACE_S):
@@ -111,13 +111,13 @@
             await self._record_exit(EXIT_TIMEOUT_S)
 
     def record_unplanned_exit(self) -> None:
-        """Record the exit of a process that ended by itself."""
+        """Record the exit of a process that was neither killed nor terminated."""
         if self._process and self._process.returncode is not None and self.incarnation.exited_at is None:
             self.incarnation.exit_code = self._process.returncode
             self.incarnation.exited_at = time.monotonic()
 
     async def clean_up(self) -> None:
-        """Kill the process if it still runs, and wait until it has ended."""
+        """Kill the process if it still runs, and wait until it has exited."""
         self.is_log_read = True
         self._send_signal(signal.SIGKILL)
         if self._process:
@@ -128,7 +128,7 @@
             self._process.send_signal(number)
 
     async def _record_exit(self, timeout_s: float) -> bool:
-        """Wait for the end of the process; False if it takes longer."""
+        """Wait for the exit of the process, and record it; return False if that takes too long."""
         assert self._process
         try:
             self.incarnation.exit_code = await asyncio.wait_for(self._process.wait(), timeout_s)
@@ -138,7 +138,7 @@
         return True
 
     def _write_config(self) -> None:
-        """Replace the configuration file atomically: the process may read it at any time."""
+        """Replace the configuration file atomically, as the process may read it at any time."""
         path = self._folder.router_config(self.number)
         new_path = path.with_suffix(".new")
         new_path.write_bytes(self.config.encode())
--- a/soak/site.py
+++ b/soak/site.py
@@ -1,7 +1,7 @@
-"""The simulated site: request classes, workers and limits.
+"""Parameters of the simulated site: request classes, workers and limits.
 
-Routers have these figures in their configuration, workers behave accordingly, and the checker verifies that
-routers respect them.
+The routers' configuration contains these parameters, workers behave accordingly, and the checker verifies
+that routers respect them.
 """
 
 from function_router.decisions.types import RetrySafety
@@ -11,24 +11,24 @@
     "save": RetrySafety.IDEMPOTENCY_KEY,
     "settle": RetrySafety.AT_MOST_ONCE,
 }
-CLASS_SHARES = {"view": 0.6, "save": 0.3, "settle": 0.1}  # of the requests
+CLASS_SHARES = {"view": 0.6, "save": 0.3, "settle": 0.1}  # share of the requests, by class
 LATENCY_OBJECTIVE_MS = 500.0
 MAX_TIMEOUT_MS = 2_000.0
 IDEMPOTENCY_WINDOW_MS = 1_500.0
 MAX_ATTEMPTS = 4
 TENANTS = ("north", "south")
 
-WORKER_CONCURRENCY = 2  # requests that an instance serves at once
+WORKER_CONCURRENCY = 2  # concurrent requests per instance
 WORKER_CORES = 2
-MEAN_RUN_TIME_S = 0.04
-COLD_START_S = 0.25  # a cold start
+MEAN_RUN_TIME_S = 0.04  # mean time that a request runs
+COLD_START_S = 0.25  # mean duration of a cold start
 WORKER_CAPACITY_RPS = WORKER_CORES / MEAN_RUN_TIME_S
 
 SLOW_START_S = 5.0
-SLOW_START_INITIAL_SHARE = 0.1  # the share of its capacity that a worker may get at its start
+SLOW_START_INITIAL_SHARE = 0.1  # share of its capacity that a worker may get right after its start
 OVERLOAD_WINDOW_S = 1.0
-OVERLOAD_MULTIPLE = 1.5  # of the slow start share of its capacity; more is an overload
+OVERLOAD_MULTIPLE = 1.5  # more than this multiple of the slow start share of the capacity is an overload
 
 START_ORDER_WINDOW_S = 5.0
-START_ORDER_BURST = 2  # start orders in a window, however few requests it has
-START_ORDERS_PER_REQUEST = 0.3
+START_ORDER_BURST = 2  # start orders that a window allows without any requests
+START_ORDERS_PER_REQUEST = 0.3  # start orders that a window allows for each request in it
--- a/soak/thrift_client.py
+++ b/soak/thrift_client.py
@@ -1,4 +1,4 @@
-"""One client connection to a router: pending requests and their answers, over asyncio."""
+"""A client connection to a router, with pending requests and their answers, over asyncio."""
 
 import asyncio
 import struct
@@ -15,7 +15,7 @@
 
 
 class ConnectionEndedError(SoakTestError):
-    """The connection ended, at `at` (monotonic seconds), before the answer came."""
+    """The connection ended, at `at` in monotonic seconds, before the answer arrived."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(cause)
@@ -24,13 +24,13 @@
 
 
 class ThriftConnection:
-    """A connection with any number of pending requests; whoever opens it closes it.
+    """A connection with any number of pending requests, which is closed by its opener.
 
     Attributes:
-        pending: the futures of answers that have not come, by sequence number.
-        surplus_answers: how many answers came to numbers without a pending request.
-        end_cause: set once the connection has ended.
-        last_used: when it last sent something, in monotonic seconds.
+        pending: The futures of outstanding answers, by sequence number.
+        surplus_answers: The number of answers whose sequence number had no pending request.
+        end_cause: The reason why the connection ended, or None while it is open.
+        last_used: When data was last sent, in monotonic seconds.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -45,21 +45,21 @@
 
     @classmethod
     async def open(cls, port: int) -> "ThriftConnection":
-        """Connect to a router on loopback; raises OSError."""
+        """Connect to a router on loopback; raise OSError if that fails."""
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def next_seqid(self) -> int:
-        """The next sequence number."""
+        """Return an unused sequence number."""
         self._next_seqid += 1
         return self._next_seqid - 1
 
     def send(self, data: bytes) -> None:
-        """Send bytes."""
+        """Send bytes on the connection."""
         self.last_used = time.monotonic()
         self._writer.write(data)
 
     def expect_answer(self, seqid: int) -> asyncio.Future[ClientAnswer]:
-        """A future for the answer; it fails with ConnectionEndedError."""
+        """Return a future for the answer, which fails with ConnectionEndedError if the connection ends."""
         future: asyncio.Future[ClientAnswer] = asyncio.get_running_loop().create_future()
         future.add_done_callback(_retrieve_exception)
         if self.end_cause is not None:
@@ -69,7 +69,7 @@
         return future
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection, and fail all pending requests."""
         self._task.cancel()
         self._writer.close()
         self._end("closed by the client")
@@ -87,7 +87,7 @@
         self._writer.close()
 
     def _consume_answers(self, buffer: bytearray) -> None:
-        """Remove complete messages from the buffer, and resolve the futures of their requests."""
+        """Remove complete messages from the buffer, and set the results of their requests' futures."""
         while len(buffer) >= _SIZE.size:
             (size,) = _SIZE.unpack_from(buffer)
             if len(buffer) < _SIZE.size + size:
@@ -110,13 +110,13 @@
 
 
 def _retrieve_exception(future: asyncio.Future[ClientAnswer]) -> None:
-    """Mark a failure as retrieved: asyncio would log it if nobody awaits the answer any more."""
+    """Mark an exception as retrieved, as asyncio would log it if nothing awaits the answer any more."""
     if not future.cancelled():
         future.exception()
 
 
 async def is_router_ready(port: int) -> bool:
-    """Whether a router on loopback answers a status request; the flag in the answer is not read."""
+    """Return whether a router on loopback answers a status request; the flag in the answer is ignored."""
     try:
         connection = await ThriftConnection.open(port)
     except OSError:
--- a/soak/thrift_messages.py
+++ b/soak/thrift_messages.py
@@ -1,4 +1,4 @@
-"""Thrift messages of a client: encoded requests and cancellations, decoded answers; no I/O."""
+"""Encodes the Thrift messages of a client, and decodes the answers, without I/O."""
 
 import struct
 from dataclasses import dataclass
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientAnswer:
-    """An answer at a monotonic time in seconds; `body` is empty unless a worker served it."""
+    """An answer that arrived at `at` in monotonic seconds; `body` is empty unless the request was served."""
 
     kind: AnswerKind
     at: float
@@ -38,33 +38,34 @@
 
 
 def encode_request(seqid: int, fields: dict[str, str], body: bytes) -> bytes:
-    """The frame of a request."""
+    """Encode the frame of a request."""
     arguments = _FIELD.pack(thrift.MAP, HANDLE_FIELDS_ID) + thrift.encode_string_map(fields)
     arguments += _FIELD.pack(thrift.STRING, HANDLE_BODY_ID) + thrift.encode_string(body) + END_OF_STRUCT
     return thrift.encode_frame(thrift.CALL, METHOD_HANDLE.encode(), seqid, arguments)
 
 
 def encode_cancel(seqid: int) -> bytes:
-    """The frame that cancels a request."""
+    """Encode the frame that cancels a request."""
     arguments = struct.pack(">bhi", thrift.I32, WITHDRAW_SEQID_ID, seqid) + END_OF_STRUCT
     return thrift.encode_frame(thrift.ONEWAY, METHOD_WITHDRAW.encode(), seqid, arguments)
 
 
 def encode_status(seqid: int) -> bytes:
-    """The frame that asks whether a router is ready."""
+    """Encode the frame that asks whether a router is ready."""
     arguments = struct.pack(">bhb", thrift.BOOL, STATUS_ARGUMENT_ID, True) + END_OF_STRUCT
     return thrift.encode_frame(thrift.CALL, METHOD_STATUS.encode(), seqid, arguments)
 
 
 def decode_answer(message: bytes, at: float) -> tuple[int, ClientAnswer]:
-    """The sequence number and the answer in a message without its size, which arrived at a time."""
+    """Decode a message without its size prefix, received at `at`; return its sequence number and answer."""
     head = thrift.parse_head(message)
     if head.message_type == thrift.EXCEPTION:
         return head.seqid, ClientAnswer(AnswerKind.EXCEPTION, at)
     _, result_id = _FIELD.unpack_from(message, head.arguments_start)
     body = b""
     if result_id == RESULT_SUCCESS_ID:
-        start = head.arguments_start + 2 * _FIELD.size  # after the result's field, its first one is the body
+        # The message continues with the header of the result field, then that of its first field, the body.
+        start = head.arguments_start + 2 * _FIELD.size
         (length,) = _SIZE.unpack_from(message, start)
         body = message[start + _SIZE.size : start + _SIZE.size + length]
     return head.seqid, ClientAnswer(ANSWER_KINDS[result_id], at, body)
--- a/soak/traffic.py
+++ b/soak/traffic.py
@@ -1,4 +1,4 @@
-"""Controls the clients' process: how many requests it sends, and to which routers."""
+"""Controls the clients' process: its request rate, its rate of bad clients, and the routers that it uses."""
 
 from collections.abc import Sequence
 
@@ -9,34 +9,34 @@
 
 
 class Traffic:
-    """Controls the clients; each change takes effect at once, and leaves everything else as it was."""
+    """Controls the clients; each change is sent at once, and leaves all other settings as they were."""
 
     def __init__(self, process: ModuleProcess, router_count: int) -> None:
         self._process = process
         self._command = ClientsCommand([0] * router_count, 0.0)
 
     async def start(self, ports: Sequence[int], requests_per_s: float) -> None:
-        """Send requests to the routers at these ports; 0 for a router that is down."""
+        """Start sending requests to the routers at these ports; a port of 0 marks a router that is down."""
         await self._change(ports=list(ports), requests_per_s=requests_per_s)
 
     async def stop(self) -> None:
-        """Stop starting requests and bad clients."""
+        """Start no more requests and bad clients."""
         await self._change(requests_per_s=0.0, bad_clients_per_s=0.0)
 
     async def set_request_rate(self, requests_per_s: float) -> None:
-        """Change the rate of requests, of all clients together."""
+        """Set the request rate of all clients together."""
         await self._change(requests_per_s=requests_per_s)
 
     async def set_bad_client_rate(self, bad_clients_per_s: float) -> None:
-        """Change the rate of clients that violate the protocol."""
+        """Set the rate of clients that violate the protocol."""
         await self._change(bad_clients_per_s=bad_clients_per_s)
 
     async def use_router(self, router: int, port: int) -> None:
-        """Send requests to a router at its port."""
+        """Send requests to a router, at the given port."""
         await self._set_port(router, port)
 
     async def open_no_connections(self, router: int) -> None:
-        """Open no connection to a router, and go on using those that are open."""
+        """Open no more connections to a router, but keep using open ones."""
         await self._change(open_only=[*self._command.open_only, router])
 
     async def avoid_router(self, router: int) -> None:
--- a/soak/worker.py
+++ b/soak/worker.py
@@ -1,7 +1,7 @@
-"""A worker process: instances with cold starts, a bounded queue, and the routers' binary frames.
+"""A worker process, which simulates function instances with cold starts and bounded queues.
 
-It prints its port on standard output once it listens, and runs until it is killed. From SIGUSR1 on it drains:
-it finishes what it has, and rejects new work.
+The worker serves the routers' binary frames. It prints its port to standard output once it listens, and runs
+until it is killed. After SIGUSR1 it drains: it finishes accepted requests, and rejects new work.
 """
 
 import asyncio
@@ -14,19 +14,19 @@
 from soak import site
 
 READ_BYTES = 65_536
-MAX_QUEUED_REQUESTS = 24  # requests of one function that wait for an instance; more are rejected
+MAX_QUEUED_REQUESTS = 24  # per function; a request above this is rejected
 LISTEN_BACKLOG = 512
-MIN_START_FACTOR = 0.8  # of the mean time of a cold start
-MAX_START_FACTOR = 1.2
+MIN_START_FACTOR = 0.8  # shortest cold start, relative to the mean
+MAX_START_FACTOR = 1.2  # longest cold start, relative to the mean
 
 
 class FunctionInstances:
     """The instances of one function on this worker.
 
     Attributes:
-        count: instances that have started.
-        running: requests that run now.
-        waiting: requests that wait for an instance with room for one more.
+        count: The number of started instances.
+        running: The number of running requests.
+        waiting: The number of requests that wait for an instance with free capacity.
     """
 
     def __init__(self) -> None:
@@ -38,13 +38,13 @@
 
     @property
     def start_kind(self) -> str:
-        """How a request that arrives now finds its instance."""
+        """Return the start kind of a request that arrives now: whether it needs or joins a cold start."""
         if self.count:
             return frames.REUSED
         return frames.JOINED_START if self._starting else frames.STARTED
 
     async def ensure_count(self, count: int) -> None:
-        """Start instances, one after the other, until there are `count`."""
+        """Start instances, one after the other, until `count` have started."""
         while self.count < count:
             if self._starting is None or self._starting.done():
                 self._starting = asyncio.create_task(self._start_instance())
@@ -57,7 +57,7 @@
             self._changed.notify_all()
 
     async def run(self) -> None:
-        """Wait for an instance with room for one more request, then run for a while."""
+        """Wait for an instance with free capacity, then run for a random time."""
         self.waiting += 1
         try:
             async with self._changed:
@@ -74,7 +74,7 @@
 
 
 class WorkerServer:
-    """Serves the frames of any number of connections."""
+    """Serves frames on any number of connections."""
 
     def __init__(self) -> None:
         self._functions: dict[str, FunctionInstances] = {}
@@ -85,7 +85,7 @@
         self._is_draining = True
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the frames of one connection until it ends; that cancels everything it has requested."""
+        """Answer the frames of a connection until it ends, then cancel all tasks that it started."""
         frame_reader = frames.FrameReader(frames.FROM_ROUTER)
         tasks: dict[bytes, asyncio.Task[None]] = {}
         try:
@@ -153,12 +153,12 @@
 
 
 def served_body(exchange_id: bytes) -> bytes:
-    """The body of the answer to a request, which the clients check."""
+    """Return the body of the answer to a request, which the clients verify."""
     return b"served " + exchange_id.hex().encode()
 
 
 async def main() -> None:
-    """Listen on a free port of the loopback interface."""
+    """Serve on a free port of the loopback interface."""
     worker = WorkerServer()
     asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, worker.start_draining)
     server = await asyncio.start_server(worker.serve_connection, "127.0.0.1", 0, backlog=LISTEN_BACKLOG)
