--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -18,7 +18,9 @@
 from soak.run_folder import RunFolder
 
 SeedOption = Annotated[int, typer.Option(help="Seed of the first run.")]
-SeedsOption = Annotated[int, typer.Option(help="Number of runs; each has the next seed.")]
+SeedsOption = Annotated[
+    int, typer.Option(help="Number of runs, one after the other, with consecutive seeds.")
+]
 SecondsOption = Annotated[float, typer.Option(help="Duration of the traffic of a run in seconds.")]
 RoutersOption = Annotated[int, typer.Option(help="Number of router processes.")]
 WorkersOption = Annotated[int, typer.Option(help="Number of worker processes.")]
--- a/soak/client_connections.py
+++ b/soak/client_connections.py
@@ -5,9 +5,9 @@
 
 from soak.thrift_client import ThriftConnection
 
-MAX_PENDING_REQUESTS = 32  # per connection
+MAX_PENDING_REQUESTS = 32  # on a connection; one with as many gets no more
 MAX_IDLE_S = 4.0  # from the last use of a connection until the client closes it
-REUSABLE_SHARE = 0.5  # share of extra connections that are reused; the others only stay open
+REUSABLE_SHARE = 0.5  # share of extra connections that are reused; the others stay open unused
 
 
 class ClientConnections:
--- a/soak/endpoint_log.py
+++ b/soak/endpoint_log.py
@@ -30,13 +30,12 @@
 FLAP_DOWN_S = 2.5  # how long a log that flaps refuses connections at a time
 FLAP_UP_S = 0.4  # how long it works in between
 
-# The router's request is a word and the sequence number of the last event that it knows; this is the index of
-# the number.
+# The index of the sequence number in a router's request, after a word.
 KNOWN_SEQUENCE_INDEX = 1
 
 
 class LogFailure(Enum):
-    """The ways in which a log fails during a long outage; a plan depends on their order."""
+    """The ways in which a log fails during a long outage; a fault's intensity selects one by its position."""
 
     REFUSES = auto()  # closes its connections, and refuses new ones
     IS_SILENT = auto()  # accepts connections, but sends nothing
--- a/soak/figures.py
+++ b/soak/figures.py
@@ -1,4 +1,7 @@
-"""Counts of observations for the report, which show that a run that kept all rules had traffic at all."""
+"""Counts of observations for the report.
+
+A run without traffic also keeps all rules, so the report has to show how much was observed.
+"""
 
 from collections import Counter
 from collections.abc import Sequence
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -58,7 +58,7 @@
         duration_s: Duration of a fault that doesn't end by itself.
         routers: Numbers of the routers that a router fault hits.
         workers: Numbers of the worker slots that a worker fault or an outage of the endpoint logs hits.
-        intensity: Severity from 0 to 1; each kind of fault interprets it in its own way.
+        intensity: A number from 0 to 1, which each kind of fault interprets in its own way.
     """
 
     kind: FaultKind
--- a/soak/request_rules.py
+++ b/soak/request_rules.py
@@ -85,7 +85,7 @@
 
 
 def _check_retries(request: RequestHistory) -> Iterator[Violation]:
-    """Check the number of attempts, and each attempt after the first one that may have run."""
+    """Check that the class allows the number of attempts, and each one after the first that may have run."""
     retry_safety = site.RETRY_SAFETY_BY_CLASS[request.sent[0].class_name]
     if len(request.attempts) > site.MAX_ATTEMPTS * len(request.sent):
         yield Violation(Rule.RETRY, f"{request.request_id}: {len(request.attempts)} attempts")
--- a/soak/worker.py
+++ b/soak/worker.py
@@ -14,7 +14,7 @@
 from soak import site
 
 READ_BYTES = 65_536
-MAX_QUEUED_REQUESTS = 24  # per function; a request above this is rejected
+MAX_QUEUED_REQUESTS = 24  # waiting requests per function; more are rejected
 LISTEN_BACKLOG = 512
 MIN_START_FACTOR = 0.8  # shortest cold start, relative to the mean
 MAX_START_FACTOR = 1.2  # longest cold start, relative to the mean
