--- a/tests/soak_test/test_checker.py
+++ b/tests/soak_test/test_checker.py
@@ -43,7 +43,7 @@
     return AttemptSeen(ROUTER, worker, ID, at, at, timeout_ms, class_name)
 
 
-def worker_that_drains_at(at):
+def make_draining_worker(at):
     """A worker long after its slow start, of whose drain the router was notified."""
     return WorkerIncarnation(WORKER, "s-0", 90.0, is_in_slow_start=False, drain_notified_at={ROUTER: at})
 
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize(("at", "violations"), [(101.5, set()), (101.8, {Rule.RETRY})])
-def test_retry_with_an_idempotency_key_is_kept_to_the_window(check, at, violations):
+def test_retry_with_an_idempotency_key_is_allowed_only_in_the_window(check, at, violations):
     first = attempt_at(100.1, class_name="save")
     retry = attempt_at(at, timeout_ms=100.0, class_name="save")
 
@@ -148,17 +148,17 @@
     assert check(SENT, SERVED, *attempts) == {Rule.RETRY}
 
 
-def test_no_answer_is_owed_to_a_client_that_has_gone(check):
+def test_no_answer_is_required_after_the_client_has_gone(check):
     assert check(SENT, ClientGone(ID, 100.2)) == set()
 
 
-def test_request_that_a_planned_kill_takes_is_excused(check):
+def test_request_lost_to_a_planned_kill_is_no_violation(check):
     killed = RouterIncarnation(ROUTER, 90.0, ready_at=91.0, killed_at=101.0, exited_at=101.1, exit_code=-9)
 
     assert check(SENT, incarnation=killed) == set()
 
 
-def test_request_after_a_planned_kill_is_not_excused(check):
+def test_request_lost_after_a_planned_kill_is_a_violation(check):
     killed = RouterIncarnation(ROUTER, 90.0, ready_at=91.0, killed_at=98.0, exited_at=98.1, exit_code=-9)
 
     assert check(SENT, incarnation=killed) == {Rule.LOST}
@@ -177,19 +177,19 @@
     ],
     ids=["exit unasked", "exit code", "late", "never ready"],
 )
-def test_incarnation_that_starts_or_ends_badly_is_found(check, incarnation, rule):
+def test_failed_start_or_exit_of_a_router_is_found(check, incarnation, rule):
     assert check(incarnation=incarnation) == {rule}
 
 
-def test_exit_after_sigterm_and_an_overdue_sigkill_is_no_crash(check):
-    overdue = RouterIncarnation(
+def test_exit_by_a_forced_kill_after_sigterm_is_no_crash(check):
+    force_killed = RouterIncarnation(
         ROUTER, 90.0, ready_at=91.0, sigterm_at=94.0, forced_kill_at=97.0, exited_at=97.1, exit_code=-9
     )
 
-    assert check(incarnation=overdue) == set()
+    assert check(incarnation=force_killed) == set()
 
 
-def test_bad_client_of_a_killed_router_is_excused(check):
+def test_bad_client_of_a_killed_router_is_no_violation(check):
     killed = RouterIncarnation(ROUTER, 90.0, ready_at=91.0, killed_at=98.0, exited_at=98.1, exit_code=-9)
     unsettled = BadClientSeen(ROUTER, "noise", 100.0, 4.0, is_settled=False)
 
@@ -201,7 +201,7 @@
     "successors", [[WorkerIncarnation(WORKER, "s-0x", 110.0, is_in_slow_start=False)], []]
 )
 def test_new_work_to_a_draining_worker_is_found(check, successors):
-    draining = worker_that_drains_at(98.0)
+    draining = make_draining_worker(98.0)
 
     violations = check(SENT, SERVED, attempt_at(100.1), worker_incarnations=[draining, *successors])
 
@@ -216,13 +216,13 @@
     ],
 )
 def test_start_order_is_new_work_to_a_draining_worker_and_a_probe_is_not(check, order, violations):
-    draining = worker_that_drains_at(98.0)
+    draining = make_draining_worker(98.0)
 
     assert check(order, worker_incarnations=[draining]) == violations
 
 
 def test_work_for_the_successor_of_a_drained_worker_is_allowed(check):
-    drained = worker_that_drains_at(98.0)
+    drained = make_draining_worker(98.0)
     successor = WorkerIncarnation(WORKER, "s-0x", 100.05, is_in_slow_start=False)
 
     violations = check(SENT, SERVED, attempt_at(100.1), worker_incarnations=[drained, successor])
@@ -230,7 +230,7 @@
     assert violations == set()
 
 
-def records_of_a_burst(count):
+def make_burst_records(count):
     """So many requests with one attempt each, all of them 0.2 s after 100.0."""
     for number in range(count):
         request_id = f"{number:016x}"
@@ -251,7 +251,7 @@
     starting = WorkerIncarnation(
         WORKER, "s-0", 100.0, is_in_slow_start=True, ready_notified_at=ready_notified_at
     )
-    records = records_of_a_burst(int(slow_start_limit(0.2)) + excess)
+    records = make_burst_records(int(slow_start_limit(0.2)) + excess)
 
     assert check(*records, worker_incarnations=[starting]) == violations
 
@@ -271,7 +271,7 @@
 
 
 @pytest.mark.parametrize("text", [*ERROR_TEXTS, SLOW_TURN_TEXT])
-def test_text_that_the_checker_finds_in_logs_is_one_that_routers_write(text):
+def test_text_that_the_checker_searches_for_is_one_that_routers_log(text):
     sources = [path.read_text() for path in (ROOT / "function_router" / "net").glob("*.py")]
     written_by_python = "Traceback"
 
--- a/tests/soak_test/test_command_line.py
+++ b/tests/soak_test/test_command_line.py
@@ -51,7 +51,7 @@
     return {fault.kind for fault in plan.faults}
 
 
-def test_runs_as_many_seeds_as_asked_for_from_the_first(invoke, runs):
+def test_requested_number_of_seeds_is_run_from_the_first(invoke, runs):
     result = invoke("--seed", "5", "--seeds", "3")
 
     assert [plan.seed for plan in runs.plans] == [5, 6, 7]
@@ -65,7 +65,7 @@
     assert kinds_of(runs.plans[0]) == {FaultKind.ROUTER_PAUSE, FaultKind.CALLS_FAIL}
 
 
-def test_all_kinds_are_drawn_from_without_a_fault_option(invoke, runs):
+def test_all_kinds_are_drawn_without_a_fault_option(invoke, runs):
     invoke("--seconds", "600")
 
     assert kinds_of(runs.plans[0]) == set(FaultKind)
@@ -97,7 +97,7 @@
     assert "1 of 2 runs kept all rules" in result.output
 
 
-def test_records_are_removed_unless_they_are_to_be_kept(invoke, runs, tmp_path):
+def test_records_are_removed_without_the_keep_option(invoke, runs, tmp_path):
     invoke()
     invoke("--keep", str(tmp_path))
 
--- a/tests/soak_test/test_endpoint_log.py
+++ b/tests/soak_test/test_endpoint_log.py
@@ -68,7 +68,7 @@
 def with_log(cleanups):
     """Run a coroutine function with a log that listens and has two events."""
 
-    def run(use):
+    def run(scenario):
         async def run_in_loop():
             ports = PortAllocator(PORTS)
             cleanups.callback(ports.close)
@@ -78,7 +78,7 @@
             async with harness.resources:
                 await server.start()
                 harness.resources.push_async_callback(server.close)
-                return await use(harness)
+                return await scenario(harness)
 
         return asyncio.run(run_in_loop())
 
@@ -87,26 +87,26 @@
 
 @pytest.mark.parametrize(("known_sequence", "sequences"), [(0, [1, 2, 2]), (1, [2, 2]), (2, [2])])
 def test_router_gets_the_events_after_the_one_it_knows(with_log, known_sequence, sequences):
-    async def use(harness):
+    async def scenario(harness):
         connection = await harness.connect(known_sequence)
         return await connection.read_sequences(len(sequences))
 
-    assert with_log(use) == sequences
+    assert with_log(scenario) == sequences
 
 
 def test_event_is_sent_as_it_is_published(with_log):
-    async def use(harness):
+    async def scenario(harness):
         connection = await harness.connect(known_sequence=2)
         before = await connection.read_sequences(1)
         harness.events.append(event(3))
         await harness.server.publish()
         return before, await connection.read_sequences(2)
 
-    assert with_log(use) == ([2], [3, 3])
+    assert with_log(scenario) == ([2], [3, 3])
 
 
-def test_silent_log_sends_what_was_published_meanwhile_once_it_speaks_again(with_log):
-    async def use(harness):
+def test_event_published_during_a_silence_is_sent_after_it(with_log):
+    async def scenario(harness):
         connection = await harness.connect(known_sequence=2)
         await connection.read_line()
         silence = asyncio.create_task(harness.server.stay_silent(SILENCE_S))
@@ -119,11 +119,11 @@
         await silence
         return read_in_silence, await reading
 
-    assert with_log(use) == (False, [3, 3])
+    assert with_log(scenario) == (False, [3, 3])
 
 
 def test_log_that_refuses_connections_ends_the_open_ones_and_listens_again(with_log):
-    async def use(harness):
+    async def scenario(harness):
         connection = await harness.connect(known_sequence=2)
         await connection.read_line()
         port = harness.server.port
@@ -135,11 +135,11 @@
         connection = await harness.connect(known_sequence=1)
         return end, await connection.read_sequences(2), harness.server.port == port
 
-    assert with_log(use) == (None, [2, 2], True)
+    assert with_log(scenario) == (None, [2, 2], True)
 
 
 def test_moved_log_publishes_only_at_its_new_address(with_log):
-    async def use(harness):
+    async def scenario(harness):
         old = await harness.connect(known_sequence=2)
         await old.read_line()
         old_port = harness.server.port
@@ -150,7 +150,7 @@
         await harness.server.publish()
         return harness.server.port != old_port, await new.read_sequences(2), await old.read_line()
 
-    assert with_log(use) == (True, [3, 3], None)
+    assert with_log(scenario) == (True, [3, 3], None)
 
 
 @pytest.mark.parametrize(
@@ -163,8 +163,8 @@
         pytest.param(lambda server: server.fail(LogFailure.TRICKLES, 0.0), 4.0, id="out of reach, open"),
     ],
 )
-def test_fault_of_a_log_delays_from_when_on_routers_count_as_notified(with_log, fail, delay_s):
-    async def use(harness):
+def test_log_fault_delays_the_time_when_a_router_counts_as_notified(with_log, fail, delay_s):
+    async def scenario(harness):
         began_at = time.monotonic()
         before = harness.server.notified_at(began_at)
         await fail(harness.server)
@@ -175,7 +175,7 @@
             (harness.server.notified_at(later_at) - later_at),
         )
 
-    before_s, delayed_s, later_s = with_log(use)
+    before_s, delayed_s, later_s = with_log(scenario)
 
     assert (before_s, later_s) == (0.0, 0.0)
     assert delay_s <= delayed_s < delay_s + 1.0
@@ -189,7 +189,7 @@
     ],
 )
 def test_log_that_fails_sends_false_numbers_and_no_event_until_it_works_again(with_log, failure, line):
-    async def use(harness):
+    async def scenario(harness):
         outage = asyncio.create_task(harness.server.fail(failure, SILENCE_S))
         await asyncio.sleep(0)
         connection = await harness.connect(known_sequence=1)
@@ -197,24 +197,24 @@
         await outage
         return first, await connection.read_sequences(2)
 
-    assert with_log(use) == (line, [2, 2])
+    assert with_log(scenario) == (line, [2, 2])
 
 
 def test_log_that_trickles_completes_no_line_until_it_works_again(with_log):
-    async def use(harness):
+    async def scenario(harness):
         outage = asyncio.create_task(harness.server.fail(LogFailure.TRICKLES, SILENCE_S))
         await asyncio.sleep(0)
         connection = await harness.connect(known_sequence=1)
         await outage
         return await connection.read_sequences(2)
 
-    assert with_log(use) == [2, 2]
+    assert with_log(scenario) == [2, 2]
 
 
 def test_log_that_flaps_refuses_connections_and_comes_back(with_log, monkeypatch):
     monkeypatch.setattr(endpoint_log, "FLAP_DOWN_S", SILENCE_S)
 
-    async def use(harness):
+    async def scenario(harness):
         connection = await harness.connect(known_sequence=2)
         await connection.read_line()
         outage = asyncio.create_task(harness.server.fail(LogFailure.FLAPS, SILENCE_S))
@@ -223,11 +223,11 @@
         connection = await harness.connect(known_sequence=1)
         return end, await connection.read_sequences(2)
 
-    assert with_log(use) == (None, [2, 2])
+    assert with_log(scenario) == (None, [2, 2])
 
 
 def test_log_that_moves_while_it_refuses_connections_listens_once_it_works_again(with_log):
-    async def use(harness):
+    async def scenario(harness):
         outage = asyncio.create_task(harness.server.fail(LogFailure.REFUSES, SILENCE_S))
         await asyncio.sleep(0)
         await harness.server.move()
@@ -236,4 +236,4 @@
         await outage
         return await (await harness.connect(known_sequence=1)).read_sequences(2)
 
-    assert with_log(use) == [2, 2]
+    assert with_log(scenario) == [2, 2]
--- a/tests/soak_test/test_faults.py
+++ b/tests/soak_test/test_faults.py
@@ -11,10 +11,10 @@
 from soak.shim import ShimControl
 
 EXCLUSIVE = FaultKind.ROUTER_KILL
-ALSO_EXCLUSIVE = FaultKind.ROUTER_ROLL
+OTHER_EXCLUSIVE = FaultKind.ROUTER_ROLL
 SHARED = FaultKind.CLOCK_STEP
 ON_WORKERS = FaultKind.WORKER_HANG
-ALSO_ON_WORKERS = FaultKind.WORKER_RESTART
+OTHER_ON_WORKERS = FaultKind.WORKER_RESTART
 ON_CLIENTS = FaultKind.BURST
 
 
@@ -82,7 +82,7 @@
     assert set(FAULTS) == set(FaultKind)
 
 
-def test_kinds_that_come_on_top_of_any_other_are_the_known_ones():
+def test_kinds_that_exclude_no_other_fault_are_the_expected_ones():
     shared = {
         kind for kind, each in FAULTS.items() if isinstance(each, RouterFault) and not each.is_exclusive
     }
@@ -105,9 +105,9 @@
 
 @pytest.mark.parametrize(
     ("first", "second", "name"),
-    [(EXCLUSIVE, ALSO_EXCLUSIVE, "router"), (ON_WORKERS, ALSO_ON_WORKERS, "worker")],
+    [(EXCLUSIVE, OTHER_EXCLUSIVE, "router"), (ON_WORKERS, OTHER_ON_WORKERS, "worker")],
 )
-def test_second_exclusive_fault_leaves_out_targets_of_the_first(inject, first, second, name):
+def test_second_exclusive_fault_skips_targets_of_the_first(inject, first, second, name):
     injected = inject(fault(first, 0, 1), fault(second, 1, 2))
 
     assert injected == [(first, f"{name} 0"), (first, f"{name} 1"), (second, f"{name} 2")]
--- a/tests/soak_test/test_module_process.py
+++ b/tests/soak_test/test_module_process.py
@@ -23,7 +23,7 @@
         asyncio.run(start())
 
 
-def test_process_says_where_it_listens_and_refuses_connections_once_it_is_cleaned_up():
+def test_process_prints_its_port_and_stops_listening_after_clean_up():
     async def start_and_clean_up():
         process = await ModuleProcess.start("soak.worker")
         try:
@@ -38,7 +38,7 @@
     asyncio.run(start_and_clean_up())
 
 
-def test_process_exits_as_its_input_is_closed(tmp_path):
+def test_process_exits_after_its_input_is_closed(tmp_path):
     async def start_and_finish():
         process = await ModuleProcess.start("soak.clients", "1", "1", str(tmp_path / "clients.jsonl"))
         try:
--- a/tests/soak_test/test_plan.py
+++ b/tests/soak_test/test_plan.py
@@ -37,7 +37,7 @@
     assert digest.hexdigest() == RECORDED_DIGEST
 
 
-def test_plan_has_only_faults_of_the_kinds_that_were_asked_for():
+def test_plan_has_only_faults_of_the_requested_kinds():
     plan = draw(1, [FaultKind.ROUTER_PAUSE, FaultKind.CALLS_FAIL])
 
     assert {fault.kind for fault in plan.faults} == {FaultKind.ROUTER_PAUSE, FaultKind.CALLS_FAIL}
--- a/tests/soak_test/test_ports.py
+++ b/tests/soak_test/test_ports.py
@@ -28,17 +28,17 @@
     return make
 
 
-def test_port_is_handed_out_once(make_allocator, free_port):
+def test_port_is_allocated_once(make_allocator, free_port):
     ports = make_allocator()
 
-    taken = ports.allocate()
+    allocated = ports.allocate()
 
-    assert taken == free_port
+    assert allocated == free_port
     with pytest.raises(NoFreePortError):
         ports.allocate()
 
 
-def test_port_of_another_run_is_not_handed_out_before_it_listens(make_allocator):
+def test_port_of_another_run_is_not_allocated_before_it_listens(make_allocator):
     make_allocator().allocate()
 
     with pytest.raises(NoFreePortError):
@@ -53,6 +53,6 @@
     assert make_allocator().allocate() == free_port
 
 
-def test_port_on_which_somebody_listens_is_not_handed_out(make_allocator, free_port):
+def test_port_in_use_is_not_allocated(make_allocator, free_port):
     with socket.create_server(("127.0.0.1", free_port)), pytest.raises(NoFreePortError):
         make_allocator().allocate()
--- a/tests/soak_test/test_proxy.py
+++ b/tests/soak_test/test_proxy.py
@@ -65,7 +65,7 @@
 def with_proxy(tmp_path):
     """Run a coroutine function with a proxy; returns its result and the records."""
 
-    async def run_in_loop(use):
+    async def run_in_loop(scenario):
         recorder = Recorder(tmp_path / "proxy.jsonl")
         worker = FixedAnswerWorker()
         harness = ProxyHarness(Proxy(1, 1, recorder), worker)
@@ -76,23 +76,23 @@
             await harness.proxy.listen()
             await harness.command()
             harness.resources.push_async_callback(harness.command, None)
-            result = await use(harness)
+            result = await scenario(harness)
         recorder.close()
         return result
 
-    def run(use):
-        result = asyncio.run(run_in_loop(use))
+    def run(scenario):
+        result = asyncio.run(run_in_loop(scenario))
         return result, list(read_records(tmp_path / "proxy.jsonl"))
 
     return run
 
 
 def test_frames_are_forwarded_and_recorded_in_both_directions(with_proxy):
-    async def use(harness):
+    async def scenario(harness):
         answer = await harness.exchange(RUN)
         return answer, harness.worker.received
 
-    (answer, received), records = with_proxy(use)
+    (answer, received), records = with_proxy(scenario)
 
     assert (answer, received) == (ANSWER, RUN)
     assert [type(record) for record in records] == [AttemptSeen, WorkerAnswerSeen]
@@ -108,7 +108,7 @@
 
 
 def test_command_without_a_target_resets_connections_and_refuses_new_ones(with_proxy):
-    async def use(harness):
+    async def scenario(harness):
         reader, writer = await harness.connect()
         writer.write(RUN)
         await asyncio.wait_for(reader.read(65_536), READ_TIMEOUT_S)
@@ -120,13 +120,13 @@
         await harness.command()
         return await harness.exchange(RUN)
 
-    answer, _ = with_proxy(use)
+    answer, _ = with_proxy(scenario)
 
     assert answer == ANSWER
 
 
 def test_reset_of_connections_leaves_the_proxy_listening(with_proxy):
-    async def use(harness):
+    async def scenario(harness):
         reader, writer = await harness.connect()
         writer.write(RUN)
         await asyncio.wait_for(reader.read(65_536), READ_TIMEOUT_S)
@@ -135,17 +135,17 @@
             await asyncio.wait_for(reader.read(1), READ_TIMEOUT_S)
         return await harness.exchange(RUN)
 
-    answer, _ = with_proxy(use)
+    answer, _ = with_proxy(scenario)
 
     assert answer == ANSWER
 
 
 def test_corrupted_answer_is_recorded_as_the_worker_sent_it(with_proxy):
-    async def use(harness):
+    async def scenario(harness):
         await harness.command(corrupted_share=1.0)
         return await harness.exchange(RUN)
 
-    answer, records = with_proxy(use)
+    answer, records = with_proxy(scenario)
 
     assert answer != ANSWER
     assert records[1].code == frames.OK
--- a/tests/soak_test/test_request_client.py
+++ b/tests/soak_test/test_request_client.py
@@ -19,7 +19,7 @@
     assert request.timeout_s == 1.5
 
 
-def test_drawn_requests_are_of_the_site():
+def test_drawn_requests_have_the_parameters_of_the_site():
     rng = random.Random(1)
 
     requests = [draw_request(rng, ["f", "g"], [1.0, 0.5]) for _ in range(200)]
--- a/tests/soak_test/test_run.py
+++ b/tests/soak_test/test_run.py
@@ -10,11 +10,11 @@
 ROOT = Path(__file__).parents[2]
 TIMEOUT_S = 120
 SEEDS = (1, 2)  # which between them draw most kinds of faults
-SMALL = ["--routers", "2", "--workers", "2", "--seconds", "3", "--rate", "40", "--no-shim"]
+SMALL_RUN_OPTIONS = ["--routers", "2", "--workers", "2", "--seconds", "3", "--rate", "40", "--no-shim"]
 
 
 def test_small_run_without_faults_serves_and_keeps_all_rules(tmp_path):
-    command = [sys.executable, "-m", "soak", *SMALL, "--no-faults", "--keep", str(tmp_path)]
+    command = [sys.executable, "-m", "soak", *SMALL_RUN_OPTIONS, "--no-faults", "--keep", str(tmp_path)]
 
     run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False)
 
--- a/tests/soak_test/test_traffic.py
+++ b/tests/soak_test/test_traffic.py
@@ -57,7 +57,7 @@
     [lambda traffic: traffic.avoid_router(1), lambda traffic: traffic.use_router(1, 2)],
     ids=["avoided", "used again"],
 )
-def test_router_that_is_avoided_or_used_again_is_not_kept_from_connections(command_after, change):
+def test_avoided_or_reused_router_is_removed_from_open_only(command_after, change):
     async def open_none_then_change(traffic):
         await traffic.open_no_connections(1)
         await change(traffic)
