--- a/soak/faults.py
+++ b/soak/faults.py
@@ -245,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogFault:
-    """A fault of all endpoint logs, which also replaces workers; those have no other fault meanwhile."""
+    """A fault of all endpoint logs, which also replaces workers, and excludes other faults of their slots."""
 
     inject: Callable[[Cluster, list[WorkerSlot], Fault], Awaitable[None]]
 
--- a/soak/request_rules.py
+++ b/soak/request_rules.py
@@ -26,7 +26,7 @@
 
 
 def _check_answers(request: RequestHistory, routers: Sequence[RouterIncarnation]) -> Iterator[Violation]:
-    """Check that a request gets exactly one genuine answer in time, unless its client has gone."""
+    """Check that a request gets one genuine answer in time, unless its client cancels or closes."""
     if request.client_gone:
         return
     sent = request.sent[-1]
@@ -68,7 +68,7 @@
 
 
 def _check_attempt(request: RequestHistory, attempt: AttemptSeen) -> Iterator[Violation]:
-    """Check that an attempt's client has not gone, and that it gets at most the client's remaining time."""
+    """Check that an attempt precedes a cancellation or close, and has at most the client's remaining time."""
     sent = request.sent[-1]
     context = (
         f"{request.request_id}: router {attempt.router} to worker {attempt.worker} at "
--- a/tests/soak_test/test_checker.py
+++ b/tests/soak_test/test_checker.py
@@ -1,4 +1,4 @@
-"""Tests of the soak test's checker: each rule is seen to be broken by records that were made for it."""
+"""Tests of the soak test's checker, which has to report each rule that synthetic records violate."""
 
 from pathlib import Path
 
@@ -44,7 +44,7 @@
 
 
 def make_draining_worker(at):
-    """A worker long after its slow start, of whose drain the router was notified."""
+    """Return a worker without a slow start, of whose drain the router was notified at a time."""
     return WorkerIncarnation(WORKER, "s-0", 90.0, is_in_slow_start=False, drain_notified_at={ROUTER: at})
 
 
@@ -54,7 +54,7 @@
 
 @pytest.fixture
 def check(tmp_path):
-    """Check records of one router and one worker; returns the rules that were broken."""
+    """Return a function that checks records of one router and one worker, and returns the violated rules."""
 
     def run(*records, incarnation=None, worker_incarnations=(), log=""):
         folder = RunFolder(tmp_path)
@@ -231,7 +231,7 @@
 
 
 def make_burst_records(count):
-    """So many requests with one attempt each, all of them 0.2 s after 100.0."""
+    """Yield records of `count` requests, each with an attempt 0.2 s after the worker's start at 100.0."""
     for number in range(count):
         request_id = f"{number:016x}"
         yield RequestSent(request_id, ROUTER, "view", 100.05, 2.0)
--- a/tests/soak_test/test_client_connections.py
+++ b/tests/soak_test/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Tests of the clients' connections: which are reused, and which are opened."""
+"""Tests of the clients' connections: when one is reused, and when one is opened."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def with_connections():
-    """Run a coroutine function with connections to a listener that sends nothing, and its port."""
+    """Return a function that runs a scenario with client connections, and the port of a silent listener."""
 
     def run(scenario, min_per_router=1):
         async def run_in_loop():
--- a/tests/soak_test/test_command_line.py
+++ b/tests/soak_test/test_command_line.py
@@ -1,4 +1,4 @@
-"""Tests of the soak test's command line: the plans that it runs, its report, and its exit code."""
+"""Tests of the soak test's command line: the plans that it runs, its report, and its exit status."""
 
 import pytest
 import typer
@@ -10,7 +10,7 @@
 
 
 class FakeRuns:
-    """Stands in for runs: keeps their plans and folders, and breaks a rule on some seeds."""
+    """Fakes runs: records their arguments, and reports violations for the seeds in `broken_seeds`."""
 
     def __init__(self):
         self.plans = []
@@ -19,7 +19,7 @@
         self.broken_seeds = set()
 
     def run(self, plan, folder, *, uses_shim):
-        """Keep what would run, and return a result."""
+        """Record the arguments of a run, and return a result."""
         folder.path.mkdir(parents=True)
         self.plans.append(plan)
         self.folders.append(folder.path)
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def runs(monkeypatch):
-    """The runs that the command line starts."""
+    """Replace the runs that the command line starts by fakes, and return these."""
     stub = FakeRuns()
     monkeypatch.setattr(command_line, "_run", stub.run)
     return stub
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def invoke():
-    """Invoke the command line with arguments."""
+    """Return a function that invokes the command line with arguments."""
     app = typer.Typer()
     app.command()(command_line.main)
     return lambda *arguments: CliRunner().invoke(app, arguments)
--- a/tests/soak_test/test_endpoint_log.py
+++ b/tests/soak_test/test_endpoint_log.py
@@ -1,4 +1,4 @@
-"""Tests of the soak test's endpoint log: what a router gets of its events, and the faults of the log."""
+"""Tests of the soak test's endpoint log: the events that a router receives, and the faults of the log."""
 
 import asyncio
 import contextlib
@@ -12,15 +12,15 @@
 from soak.endpoint_log import EndpointLogServer, LogFailure
 from soak.ports import PortAllocator
 
-PORTS = range(31_900, 32_000)  # the last ones of the range, which runs reach last
+PORTS = range(31_900, 32_000)  # the end of the soak test's range, which runs allocate last
 WORKER_PORTS = [20_000]
 READ_TIMEOUT_S = 5.0
 SILENCE_S = 0.2
-REFUSAL_S = 1.0  # longer than a busy machine takes to try a connection
+REFUSAL_S = 1.0  # longer than a connection attempt takes on a busy machine
 
 
 def event(sequence):
-    """An event with one worker."""
+    """Return an event about one worker."""
     endpoint = Endpoint(f"s-{sequence}", 0, EndpointPhase.READY, 0.0)
     return EndpointEvent(sequence, (endpoint,), is_complete=False)
 
@@ -33,12 +33,12 @@
         self._writer = writer
 
     async def read_line(self):
-        """The next line, decoded: an event, or a sequence number; None at the end of the connection."""
+        """Return the next line, decoded: an event, or a heartbeat; None at the end of the connection."""
         line = await asyncio.wait_for(self._reader.readline(), READ_TIMEOUT_S)
         return msgspec.json.decode(line) if line else None
 
     async def read_sequences(self, count):
-        """The sequence numbers of the next lines."""
+        """Return the sequence numbers of the next lines."""
         lines = [await self.read_line() for _ in range(count)]
         return [line["seq"] if isinstance(line, dict) else line for line in lines]
 
@@ -48,7 +48,7 @@
 
 
 class EndpointLogHarness:
-    """A log with some events, and connections to it."""
+    """An endpoint log with its events, and the connections of a router to it."""
 
     def __init__(self, server, events):
         self.server = server
@@ -56,7 +56,7 @@
         self.resources = contextlib.AsyncExitStack()
 
     async def connect(self, known_sequence=0):
-        """Connect as a router that knows the events up to a number."""
+        """Connect as a router that knows the events up to a sequence number."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.server.port)
         connection = RouterConnection(reader, writer)
         self.resources.callback(connection.close)
@@ -66,7 +66,7 @@
 
 @pytest.fixture
 def with_log(cleanups):
-    """Run a coroutine function with a log that listens and has two events."""
+    """Return a function that runs a scenario with a listening endpoint log, which has two events."""
 
     def run(scenario):
         async def run_in_loop():
--- a/tests/soak_test/test_faults.py
+++ b/tests/soak_test/test_faults.py
@@ -1,4 +1,4 @@
-"""Tests of the registry of faults, and of their exclusion."""
+"""Tests of the registry of faults, and of the mutual exclusion of faults."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 class StubCluster:
-    """Targets that are strings, for faults that only record them."""
+    """A cluster whose targets are strings, for faults that only record them."""
 
     routers = ("router 0", "router 1", "router 2")
     workers = ("worker 0", "worker 1", "worker 2")
@@ -29,8 +29,8 @@
     """Faults that last until they are released.
 
     Attributes:
-        injected: the kind and target of each, in order.
-        release: ends all of them.
+        injected: The kind and the target of each injected fault, in order.
+        release: The event that ends all faults.
     """
 
     def __init__(self):
@@ -50,7 +50,10 @@
 
 @pytest.fixture
 def inject(monkeypatch):
-    """Begin faults one after the other while those before them last; returns what was injected."""
+    """Return a function that starts faults one after the other while earlier ones last.
+
+    The function returns the kind and the target of each injected fault.
+    """
 
     async def run(*faults):
         recorded = RecordedFaults()
@@ -74,7 +77,7 @@
 
 
 def fault(kind, *targets):
-    """A fault of these routers and worker slots."""
+    """Return a fault of the routers and worker slots with these numbers."""
     return Fault(kind, 0.0, 1.0, routers=list(targets), workers=list(targets), intensity=0.5)
 
 
--- a/tests/soak_test/test_frame_tap.py
+++ b/tests/soak_test/test_frame_tap.py
@@ -1,4 +1,4 @@
-"""Tests of the proxy's frame tap: the frames in a stream of bytes, and when each began."""
+"""Tests of the proxy's frame tap: the frames in a stream of bytes, and the arrival of their first bytes."""
 
 import time
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def tap(monkeypatch):
-    """A tap, and a clock that is set by hand."""
+    """Return a frame tap, and a list with the time of its clock."""
     clock = [100.0]
     monkeypatch.setattr(time, "monotonic", lambda: clock[0])
     return FrameTap(frames.FROM_ROUTER), clock
--- a/tests/soak_test/test_module_process.py
+++ b/tests/soak_test/test_module_process.py
@@ -1,4 +1,4 @@
-"""Tests of the soak test's child processes: their start, their end, and what happens if they don't start."""
+"""Tests of the soak test's child processes: start, failed start, and exit."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from soak.errors import ProcessStartError
 from soak.module_process import ModuleProcess
 
-SILENT_MODULE = "soak.errors"  # runs to its end without a line of output
-FINISH_TIMEOUT_S = 60.0  # far longer than a busy machine takes
+SILENT_MODULE = "soak.errors"  # exits without output
+FINISH_TIMEOUT_S = 60.0  # far longer than an exit takes on a busy machine
 
 
 def test_process_that_ends_without_a_line_is_an_error():
--- a/tests/soak_test/test_plan.py
+++ b/tests/soak_test/test_plan.py
@@ -1,4 +1,4 @@
-"""Tests of the soak test's plans: a seed gives the same plan in every version."""
+"""Tests of the soak test's plans, which have to be the same in every version for a seed."""
 
 import hashlib
 
@@ -10,7 +10,9 @@
 ROUTERS = 9
 WORKERS = 7
 RECORDED_SEEDS = range(1, 51)
-RECORDED_DIGEST = "4b4b080d1506a3e91300527cbc09fd47c4fb182f7bba636e5e9402091a91a888"  # with signal-series
+
+# The digest of the plans that are drawn for the recorded seeds from all kinds, including signal-series.
+RECORDED_DIGEST = "4b4b080d1506a3e91300527cbc09fd47c4fb182f7bba636e5e9402091a91a888"
 
 
 def draw(seed, kinds=tuple(FaultKind)):
--- a/tests/soak_test/test_ports.py
+++ b/tests/soak_test/test_ports.py
@@ -1,4 +1,4 @@
-"""Tests of the ports that the soak test's listeners get."""
+"""Tests of the allocation of ports to the soak test's listeners."""
 
 import socket
 
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def free_port():
-    """A port that nobody listens on."""
+    """Return a port on which nothing listens."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def make_allocator(cleanups, free_port):
-    """Make port ranges over the one free port; all are closed at the end."""
+    """Return a function that makes allocators of one free port; all are closed after the test."""
 
     def make():
         ports = PortAllocator(range(free_port, free_port + 1))
--- a/tests/soak_test/test_proxy.py
+++ b/tests/soak_test/test_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of the soak test's proxy: what it forwards and records, and the faults that it injects."""
+"""Tests of the soak test's proxy: forwarding, recording, and injection of faults."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 class FixedAnswerWorker:
-    """A worker that answers each read with `ANSWER`, and keeps what it has read."""
+    """A worker that answers each read with `ANSWER`, and stores the data that it has read."""
 
     def __init__(self):
         self.port = 0
@@ -36,7 +36,7 @@
 
 
 class ProxyHarness:
-    """A proxy for one router and one worker, and connections of the router."""
+    """A proxy for one router and one worker, and the connections of the router."""
 
     def __init__(self, proxy, worker):
         self.proxy = proxy
@@ -44,7 +44,7 @@
         self.resources = contextlib.AsyncExitStack()
 
     async def command(self, target_port=0, **options):
-        """Apply a command; it forwards to the worker unless another target is given."""
+        """Apply a command; it forwards to the worker unless `target_port` is another port or None."""
         port = self.worker.port if target_port == 0 else target_port
         await self.proxy.apply(ProxyCommand(WORKER, port, **options))
 
@@ -55,7 +55,7 @@
         return reader, writer
 
     async def exchange(self, data):
-        """Send data on a connection of its own, and read what comes back first."""
+        """Send data on a new connection, and return the result of the first read."""
         reader, writer = await self.connect()
         writer.write(data)
         return await asyncio.wait_for(reader.read(65_536), READ_TIMEOUT_S)
@@ -63,7 +63,7 @@
 
 @pytest.fixture
 def with_proxy(tmp_path):
-    """Run a coroutine function with a proxy; returns its result and the records."""
+    """Return a function that runs a scenario with a proxy, and returns its result and the records."""
 
     async def run_in_loop(scenario):
         recorder = Recorder(tmp_path / "proxy.jsonl")
--- a/tests/soak_test/test_request_client.py
+++ b/tests/soak_test/test_request_client.py
@@ -1,4 +1,4 @@
-"""Tests of the requests that the soak test's clients draw."""
+"""Tests of the random requests of the soak test's clients."""
 
 import random
 
--- a/tests/soak_test/test_router_config.py
+++ b/tests/soak_test/test_router_config.py
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def config():
-    """The configuration of one of 4 routers, with 2 workers."""
+    """Return the configuration of one of 4 routers, with 2 workers."""
     return RouterConfig(
         name="n0",
         port=28_000,
--- a/tests/soak_test/test_run.py
+++ b/tests/soak_test/test_run.py
@@ -1,4 +1,4 @@
-"""A short run of the soak test: its processes start, talk to each other, end, and keep the rules."""
+"""Short runs of the soak test with real processes, which have to communicate, exit, and keep all rules."""
 
 import re
 import subprocess
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).parents[2]
 TIMEOUT_S = 120
-SEEDS = (1, 2)  # which between them draw most kinds of faults
+SEEDS = (1, 2)  # their plans together contain most kinds of faults
 SMALL_RUN_OPTIONS = ["--routers", "2", "--workers", "2", "--seconds", "3", "--rate", "40", "--no-shim"]
 
 
--- a/tests/soak_test/test_shim.py
+++ b/tests/soak_test/test_shim.py
@@ -1,4 +1,4 @@
-"""Tests of the soak test's shim: its control file, that it compiles without warnings, and what it injects."""
+"""Tests of the soak test's shim: its control file, its compilation without warnings, and its faults."""
 
 import os
 import re
@@ -52,7 +52,7 @@
     assert build_shim(tmp_path).exists()
 
 
-# --- what it injects: programs that run with the shim print what they see of a call
+# --- injected faults: each program runs with the shim, makes a call, and prints its outcome
 
 PRELUDE = """
 import errno, select, socket, sys, time
@@ -111,7 +111,7 @@
 accepted.setsockopt(socket.SOL_SOCKET, 35, 1)  # SO_TIMESTAMPNS
 ancillary = []
 end_s = time.monotonic() + 10.0
-# The kernel starts to stamp packets a moment after the first socket that asks for it.
+# The kernel starts to timestamp packets shortly after the first socket enables it.
 while not ancillary and time.monotonic() < end_s:
     client.sendall(b"x")
     ancillary = accepted.recvmsg(10, 100)[1]
@@ -122,13 +122,13 @@
 
 @pytest.fixture(scope="module")
 def shim(tmp_path_factory):
-    """The built library."""
+    """Return the path of the compiled library."""
     return build_shim(tmp_path_factory.mktemp("shim"))
 
 
 @pytest.fixture
 def run_with_shim(shim, tmp_path):
-    """Run one of the programs with the shim, and return what it prints."""
+    """Return a function that runs one of `PROGRAMS` with the shim, and returns its output."""
     (tmp_path / "router-0-config.json").write_text("config")
     (tmp_path / "other.json").write_text("other")
 
--- a/tests/soak_test/test_thrift_messages.py
+++ b/tests/soak_test/test_thrift_messages.py
@@ -1,4 +1,4 @@
-"""Tests of the soak test's Thrift messages: the router's codec reads and writes the same."""
+"""Tests of the soak test's Thrift messages against the codec of the router."""
 
 import pytest
 
@@ -6,13 +6,13 @@
 from soak.records import AnswerKind
 from soak.thrift_messages import decode_answer, encode_cancel, encode_request, encode_status
 
-SIZE_BYTES = 4  # in front of a message
+SIZE_BYTES = 4  # length of the size prefix of a message
 FIELDS = {"op": "view", "call": "ab" * 8}
 
 
 @pytest.fixture
 def read():
-    """Read one frame as the router does."""
+    """Return a function that decodes a frame with the router's codec."""
     return lambda frame: thrift.FrameReader().feed(frame)
 
 
--- a/tests/soak_test/test_traffic.py
+++ b/tests/soak_test/test_traffic.py
@@ -1,4 +1,4 @@
-"""Tests of the control of the soak test's clients: a change leaves all else as it was."""
+"""Tests of the control of the soak test's clients: a change leaves all other settings as they were."""
 
 import asyncio
 
@@ -9,19 +9,19 @@
 
 
 class FakeProcess:
-    """Stands in for the clients' process, and keeps the commands."""
+    """Fakes the clients' process, and stores the commands that it receives."""
 
     def __init__(self):
         self.commands = []
 
     async def send_command(self, command):
-        """Keep a command."""
+        """Store a command."""
         self.commands.append(command)
 
 
 @pytest.fixture
 def command_after():
-    """The last command, after traffic to two routers was started and changed."""
+    """Return a function that starts traffic to two routers, changes it, and returns the last command."""
 
     def run(change):
         async def start_and_change():
