--- a/function_router/net/pool_resources.py
+++ b/function_router/net/pool_resources.py
@@ -1,4 +1,4 @@
-"""What the workers of one pool share."""
+"""The resources that the workers of one pool share."""
 
 from msgspec import Struct
 
@@ -6,20 +6,20 @@
 from function_router.net.connection_budget import ConnectionBudget
 from function_router.net.event_loop import EventLoop
 from function_router.net.idle_limit import IdleLimit
-from function_router.net.readiness import ReadinessGate
+from function_router.net.readiness import ReadinessAdapter
 from function_router.net.telemetry import Telemetry
 
 
 class PoolResources(Struct):
-    """What each worker of a pool needs for its connections, shared by all of them.
+    """The resources that all workers of a pool share for their connections.
 
     Attributes:
         loop: The event loop that serves the connections.
         transport: Timeouts and limits of the transport.
-        telemetry: For what was sent, how connections closed and what workers did wrong.
-        budget: The connections that there are and may be, to all workers together.
-        idle_limit: After which idle time a connection is not used any more.
-        readiness: Says which connections may carry new work.
+        telemetry: Counts sent exchanges and closed connections, and logs protocol errors of workers.
+        budget: The limit on the connections to all workers together.
+        idle_limit: The limit on the idle time after which a connection is not used again.
+        readiness: Decides which connections may carry new work.
     """
 
     loop: EventLoop
@@ -27,4 +27,4 @@
     telemetry: Telemetry
     budget: ConnectionBudget
     idle_limit: IdleLimit
-    readiness: ReadinessGate
+    readiness: ReadinessAdapter
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The processes of one run: proxy, workers, endpoint logs, routers and clients."""
+"""The processes and servers of a run: proxy, workers, endpoint logs, routers and clients."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 from soak.endpoint_feed import EndpointFeed
 from soak.module_process import ModuleProcess
 from soak.plan import Plan
-from soak.ports import OTHER_PORTS, PortRange
+from soak.ports import OTHER_PORTS, PortAllocator
 from soak.router_config import RouterConfig, make_settings
 from soak.router_slot import RouterSlot
 from soak.run_folder import RunFolder
@@ -20,23 +20,23 @@
 from soak.traffic import Traffic
 from soak.worker_slot import WorkerSlot
 
-FINISH_S = 8.0  # for the clients, and then for the proxy, to end by themselves
-SETTLE_S = 0.2  # for pipes and tasks to end
-START_FAILURE_SHARE = 0.3  # of the calls of socket and open that fail while a router starts
-START_FAILURE_S = 1.0
+FINISH_TIMEOUT_S = 8.0  # for the clients, and then for the proxy, to exit
+CLEANUP_DELAY_S = 0.2  # for pipes and tasks to close
+START_FAILURE_SHARE = 0.3  # share of the calls of socket and open that fail while a router starts
+START_FAILURE_DURATION_S = 1.0  # from the start of a router
 
 
 class Cluster:
-    """An async context manager that starts all processes, and ends them on exit.
+    """An async context manager that starts all processes on entry, and ends them on exit.
 
     Attributes:
-        plan: the plan of the run, with the sizes of the cluster.
-        rng: random generator for the seeds and delays that aren't part of the plan.
-        routers: by number.
-        workers: the worker slots, by number.
-        endpoints: the endpoint events, and the log of each router.
-        traffic: control of the clients.
-        log_outages: the long outages of all endpoint logs that are over.
+        plan: The plan of the run, with the size of the cluster.
+        rng: The random generator for seeds and delays that aren't part of the plan.
+        routers: The routers; the index is the router's number.
+        workers: The worker slots; the index is the slot's number.
+        endpoints: The endpoint events, and the endpoint log of each router.
+        traffic: The control of the clients.
+        log_outages: The outages of all endpoint logs that have ended.
     """
 
     endpoints: EndpointFeed
@@ -50,15 +50,15 @@
         self.log_outages: list[LogOutage] = []
         self._folder = folder
         self._shim = shim
-        self._ports = PortRange(OTHER_PORTS)
+        self._ports = PortAllocator(OTHER_PORTS)
         self._proxy: ModuleProcess
         self._clients: ModuleProcess
         self._resources = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> "Cluster":
-        async with self._resources:  # ends what has started if the rest can't start
+        async with self._resources:  # stops what has started if the rest can't start
             self._resources.callback(self._ports.close)
-            self._resources.push_async_callback(asyncio.sleep, SETTLE_S)
+            self._resources.push_async_callback(asyncio.sleep, CLEANUP_DELAY_S)
             proxy_ports = await self._start_proxy()
             await self._start_workers()
             await self._start_endpoint_logs(proxy_ports)
@@ -74,19 +74,20 @@
 
     @property
     def router_incarnations(self) -> list[RouterIncarnation]:
-        """The incarnations of all routers, by router and then by start time."""
+        """Return the incarnations of all routers, ordered by router and then by start time."""
         return [incarnation for router in self.routers for incarnation in router.incarnations]
 
     @property
     def worker_incarnations(self) -> list[WorkerIncarnation]:
-        """The incarnations of all worker slots, by start time."""
+        """Return the incarnations of all worker slots, ordered by start time."""
         incarnations = [incarnation for slot in self.workers for incarnation in slot.incarnations]
         return sorted(incarnations, key=lambda incarnation: incarnation.started_at)
 
     async def start_router(self, router: RouterSlot) -> None:
         """Start an incarnation of a router, configured with the current endpoint list.
 
-        With a shim, some system calls fail during its first second: a transient failure must not end it.
+        With a shim, some system calls fail during its first second: a transient failure must not end a router
+        that starts.
         """
         router.config.endpoint_log_port = self.endpoints.servers[router.number].port
         router.config.known_sequence = self.endpoints.last_sequence
@@ -95,24 +96,24 @@
             router.shim_control.socket_failures = START_FAILURE_SHARE
             router.shim_control.open_failures = START_FAILURE_SHARE
         starting = asyncio.create_task(router.start())
-        await asyncio.sleep(START_FAILURE_S)
+        await asyncio.sleep(START_FAILURE_DURATION_S)
         router.shim_control.socket_failures = 0.0
         router.shim_control.open_failures = 0.0
         router.write_shim_control()
         await starting
 
     async def drain(self) -> None:
-        """End the traffic, then terminate the routers as a deployment would, and complete all records."""
+        """Stop the traffic, terminate the routers as a deployment would, and complete all records."""
         await self.traffic.stop()
-        await self._clients.finish(FINISH_S)
+        await self._clients.finish(FINISH_TIMEOUT_S)
         for router in self.routers:
             router.record_unplanned_exit()
         running = [router for router in self.routers if router.incarnation.exited_at is None]
         await asyncio.gather(*(router.terminate() for router in running))
-        await self._proxy.finish(FINISH_S)
+        await self._proxy.finish(FINISH_TIMEOUT_S)
 
     async def _start_proxy(self) -> list[list[int]]:
-        """Start the proxy; its ports by router and worker slot."""
+        """Start the proxy; return its ports by router and worker slot."""
         counts = (str(self.plan.router_count), str(self.plan.worker_count))
         self._proxy = await ModuleProcess.start("soak.proxy", *counts, str(self._folder.proxy_records))
         self._resources.push_async_callback(self._proxy.clean_up)
@@ -133,7 +134,7 @@
     async def _start_routers(self) -> None:
         settings = make_settings(self.plan.router_count, self.plan.worker_count)
         for number in range(self.plan.router_count):
-            port = self._ports.take()
+            port = self._ports.allocate()
             config = RouterConfig(f"n{number}", port, f"{self.rng.getrandbits(64):016x}", settings)
             router = RouterSlot(number, self._folder, config, self._shim)
             self.routers.append(router)
--- a/soak/figures.py
+++ b/soak/figures.py
@@ -1,4 +1,7 @@
-"""How much was observed in a run, for the report: a run without traffic keeps all rules too."""
+"""Counts of observations for the report.
+
+A run without traffic also keeps all rules, so the report has to show how much was observed.
+"""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -7,18 +10,18 @@
 from soak.records import AnswerKind
 from soak.run_record import LogOutage
 
-SLOW_TURN_TEXT = "slow turn"  # in a line of a router's log
+SLOW_TURN_TEXT = "slow turn"  # part of the log line about a slow event loop iteration
 
 
 def count_figures(history: RunHistory) -> Counter[str]:
-    """Count requests, answers and the like; the keys are texts of the report."""
+    """Count requests, answers, router incarnations and slow turns; the keys are texts of the report."""
     figures: Counter[str] = Counter()
     for request in history.requests:
         _count_request(request, figures)
         _count_served(request, history.record.log_outages, figures)
     incarnations = history.record.router_incarnations
     figures["router incarnations"] = len(incarnations)
-    figures["ended by SIGKILL after SIGTERM"] = sum(each.overdue_at is not None for each in incarnations)
+    figures["ended by SIGKILL after SIGTERM"] = sum(each.forced_kill_at is not None for each in incarnations)
     figures["bad clients"] = len(history.bad_clients)
     for router in range(history.record.plan.router_count):
         figures["slow turns"] += sum(SLOW_TURN_TEXT in line for line in history.log_lines(router))
@@ -29,15 +32,15 @@
     figures["requests"] += 1
     figures["attempts"] += len(request.attempts)
     figures["sent again after a close"] += sum(lost.is_retried for lost in request.lost)
-    if request.gone:
+    if request.client_gone:
         figures["clients that left"] += 1
     elif request.answers:
         figures[f"answered {request.answers[0].kind}"] += 1
 
 
 def _count_served(request: RequestHistory, outages: Sequence[LogOutage], figures: Counter[str]) -> None:
-    """Count what was served of the requests in and outside of outages, of those that clients waited for."""
-    if request.gone or not outages:
+    """Count sent and served requests in and outside of outages, without those that clients abandoned."""
+    if request.client_gone or not outages:
         return
     is_in_outage = any(outage.began_at <= request.sent[0].at < outage.ended_at for outage in outages)
     when = "in outages" if is_in_outage else "otherwise"
--- a/soak/router_rules.py
+++ b/soak/router_rules.py
@@ -1,19 +1,20 @@
-"""The rules on the routers' processes: their starts and ends, their bad clients, and their logs."""
+"""Rules on router processes: start and exit, clients that violate the protocol, and log lines."""
 
 from collections.abc import Iterator
 
 from soak.history import RunHistory
 from soak.records import BadClientSeen
-from soak.rules import MEASURING_SLACK_S, Rule, Violation
+from soak.rules import MEASUREMENT_SLACK_S, Rule, Violation
 from soak.run_record import RouterIncarnation
 
-MAX_START_S = 10.0
-MAX_BAD_CLIENT_S = 3.0  # until a bad client has its rejection, error or close
-ERROR_TEXTS = ("invariant violated", "unhandled exception", "Traceback")  # in a line of a router's log
+MAX_START_S = 10.0  # from the start of a process until it is ready
+MAX_BAD_CLIENT_S = 3.0  # from a bad client's connect to its rejection, error or close
+# Texts in the log lines of routers that report an error.
+ERROR_TEXTS = ("invariant violated", "unhandled exception", "Traceback")
 
 
 def check_routers(history: RunHistory) -> Iterator[Violation]:
-    """All violations of the rules on routers' processes."""
+    """Check the rules on router processes; bad clients of a killed router are not checked."""
     incarnations = history.record.router_incarnations
     for incarnation in incarnations:
         yield from _check_incarnation(incarnation)
@@ -28,20 +29,20 @@
 
 
 def _check_incarnation(incarnation: RouterIncarnation) -> Iterator[Violation]:
-    """A router is ready in time, and exits only when asked to, with code 0 after SIGTERM."""
+    """Check that a router is ready in time, exits only on a signal, and exits with code 0 after SIGTERM."""
     name = f"router {incarnation.router}, started at {incarnation.started_at:.1f}"
-    was_asked = incarnation.term_at is not None or incarnation.killed_at is not None
-    if incarnation.exited_at is not None and (not was_asked or _has_ended_badly(incarnation)):
+    was_requested = incarnation.sigterm_at is not None or incarnation.killed_at is not None
+    if incarnation.exited_at is not None and (not was_requested or _has_failed(incarnation)):
         yield Violation(Rule.CRASH, f"{name}: exit code {incarnation.exit_code}")
     elif incarnation.ready_at is None or incarnation.ready_at - incarnation.started_at > MAX_START_S:
         yield Violation(Rule.NOT_READY, name)
 
 
-def _has_ended_badly(incarnation: RouterIncarnation) -> bool:
-    was_killed = incarnation.killed_at is not None or incarnation.overdue_at is not None
+def _has_failed(incarnation: RouterIncarnation) -> bool:
+    was_killed = incarnation.killed_at is not None or incarnation.forced_kill_at is not None
     return not was_killed and incarnation.exit_code != 0
 
 
 def _check_bad_client(seen: BadClientSeen) -> Iterator[Violation]:
-    if seen.took_s > MAX_BAD_CLIENT_S + MEASURING_SLACK_S or not seen.is_settled:
+    if seen.took_s > MAX_BAD_CLIENT_S + MEASUREMENT_SLACK_S or not seen.is_settled:
         yield Violation(Rule.BAD_CLIENT, f"{seen.kind} at router {seen.router}: {seen.took_s:.2f} s")
--- a/tests/net/test_acceptor.py
+++ b/tests/net/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Tests of `acceptor`: how many connections are accepted, and what happens where none can be served."""
+"""Tests of `acceptor`: the number of accepted connections, and pauses while no connection can be served."""
 
 import errno
 import socket
@@ -14,7 +14,7 @@
 
 
 class FakeOwner:
-    """Serves accepted sockets, but for the first `failures` times; keeps those that it has served."""
+    """Records the sockets that it serves; the first `failures` calls fail."""
 
     def __init__(self):
         self.has_capacity = True
@@ -23,12 +23,12 @@
         self.reserved = []
 
     def ensure_capacity(self, reserved):
-        """Whether there is capacity, as the test says."""
+        """Record the call; return whether the test allows another connection."""
         self.reserved.append(reserved)
         return self.has_capacity
 
     def serve(self, accepted):
-        """Keep the socket, or fail as epoll does without memory."""
+        """Record the socket, or fail as epoll does for lack of memory."""
         if self.failures:
             self.failures -= 1
             raise OSError(errno.ENOMEM, "epoll_ctl")
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 def connect(acceptor, cleanups):
-    """Connect clients, which the acceptor has not accepted yet."""
+    """Connect clients that the acceptor has not accepted yet."""
 
     def connect_clients(count):
         for _ in range(count):
@@ -61,7 +61,7 @@
     return connect_clients
 
 
-def test_half_of_the_connections_at_most_are_accepted_in_one_turn(loop, owner, connect):
+def test_at_most_half_of_the_connections_are_accepted_in_one_turn(loop, owner, connect):
     connect(3)
 
     loop.run_once(0)
@@ -87,7 +87,9 @@
     assert not acceptor.is_paused
 
 
-def test_socket_that_cannot_be_served_is_kept_and_served_later(loop, run_until, owner, connect, log_lines):
+def test_socket_that_cannot_be_served_is_deferred_and_served_later(
+    loop, run_until, owner, connect, log_lines
+):
     owner.failures = 2
     connect(1)
 
@@ -96,21 +98,21 @@
     connect(1)
     run_until(lambda: len(owner.served) == 2)
 
-    assert [line.startswith("accepted connection: ") for line in log_lines] == [True, True]
+    assert [line.startswith("cannot serve accepted connection: ") for line in log_lines] == [True, True]
     assert set(owner.reserved) == {0}
 
 
-def test_kept_socket_counts_against_the_capacity(loop, acceptor, owner, connect):
+def test_deferred_socket_counts_against_the_capacity(loop, acceptor, owner, connect):
     owner.failures = 1
     connect(1)
     loop.run_once(0)
 
-    acceptor.accept_waiting()
+    acceptor.accept_pending()
 
     assert owner.reserved == [0, 1]
 
 
-def test_accept_without_a_file_descriptor_is_tried_again_and_not_logged(
+def test_accept_without_a_file_descriptor_is_retried_and_not_logged(
     loop, run_until, acceptor, owner, connect, log_lines
 ):
     connect(1)
@@ -129,11 +131,11 @@
     owner.failures = 1
     connect(1)
     loop.run_once(0)
-    [kept] = acceptor._not_served
+    [deferred] = acceptor._deferred_sockets
     address = acceptor.address
 
     acceptor.close()
 
-    assert kept.sock.fileno() == -1
+    assert deferred.sock.fileno() == -1
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address)
--- a/tests/net/test_attempt_report.py
+++ b/tests/net/test_attempt_report.py
@@ -1,4 +1,4 @@
-"""Tests of `attempt_report`: what the decision module and the log are given of an attempt's result."""
+"""Tests of `attempt_report`: the conversion of an attempt's result for the decision module and the log."""
 
 import pytest
 
@@ -34,7 +34,7 @@
         (Outcome.NOT_LOADED, 3, None),
     ],
 )
-def test_in_flight_is_bounded_and_reported_of_some_outcomes(attempt, outcome, in_flight, reported):
+def test_in_flight_is_bounded_and_reported_for_some_outcomes(attempt, outcome, in_flight, reported):
     answer = make_answer(outcome, in_flight)
 
     report = AttemptReport.from_result(attempt, answer, reports_in_flight=True)
--- a/tests/net/test_client_messages.py
+++ b/tests/net/test_client_messages.py
@@ -1,4 +1,4 @@
-"""Tests of `client_messages`: the messages in a client's bytes, and when the next one is overdue."""
+"""Tests of `client_messages`: splitting a client's bytes into messages, and when the next one is overdue."""
 
 import pytest
 from helpers.client_messages import REQUEST_FIELDS, encode_request
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def messages(monkeypatch):
-    """The messages of a client that connects and sends at one moment."""
+    """The messages of a client on a stopped clock, so that it connects and sends at the same time."""
     monkeypatch.setattr(client_messages, "monotonic_ms", lambda: CONNECTED_AT_MS)
     return ClientMessages()
 
@@ -46,7 +46,7 @@
     assert not messages.is_overdue(CONNECTED_AT_MS + 10 * MAX_MESSAGE_MS, CONNECTED_AT_MS)
 
 
-def test_partial_message_is_overdue_once_no_chunk_has_come_for_the_chunk_timeout(messages):
+def test_partial_message_is_overdue_once_no_chunk_has_arrived_for_the_chunk_timeout(messages):
     messages.feed(FRAME[:9])
     now_ms = CONNECTED_AT_MS + MESSAGE_TIMEOUT_MS + 1.0
 
@@ -54,7 +54,7 @@
     assert messages.is_overdue(now_ms, last_received_ms=now_ms - CHUNK_TIMEOUT_MS - 1.0)
 
 
-def test_partial_message_is_overdue_in_the_end_however_steadily_it_comes(messages):
+def test_partial_message_is_overdue_eventually_however_steadily_it_arrives(messages):
     messages.feed(FRAME[:9])
     deadline_ms = CONNECTED_AT_MS + MAX_MESSAGE_MS
 
--- a/tests/net/test_decision_host.py
+++ b/tests/net/test_decision_host.py
@@ -1,4 +1,4 @@
-"""Tests of `decision_host`."""
+"""Tests of `decision_host`: performing the actions of the decision module, and its exceptions."""
 
 from typing import get_args
 from unittest import mock
@@ -13,7 +13,7 @@
 from function_router.net.request_table import RequestTable
 from function_router.net.timer_wheel import TimerWheel
 
-# One of each action that the request table carries out, and the method that does so.
+# One of each action that the request table performs, and the method that performs it.
 TABLE_ACTIONS = [
     (actions.SendRequest("r1", 11), "send"),
     (actions.CancelAttempt("r1", 0), "cancel_attempt"),
@@ -26,7 +26,7 @@
 
 
 def handle_with_actions(harness, *decided):
-    """Run a turn of the event loop in which the decisions return these actions."""
+    """Run a turn of the event loop in which the decision module returns these actions."""
     process = harness.router_process
     with mock.patch.object(process.router, "handle", return_value=list(decided)):
         process.loop.submit(TimerFired(1))
@@ -34,7 +34,7 @@
 
 
 def events_of(handle):
-    """All events that a stand-in for `Router.handle` was called with."""
+    """Return all events with which a mock of `Router.handle` was called."""
     return [event for call in handle.call_args_list for event in call.args[1]]
 
 
@@ -57,7 +57,7 @@
     carry_out.assert_called_once_with(action)
 
 
-def test_timer_comes_back_as_an_event_after_its_delay(harness):
+def test_timer_event_is_submitted_after_its_delay(harness):
     process = harness.router_process
 
     handle_with_actions(harness, actions.SetTimer(delay_ms=1.0, token=7))
@@ -76,7 +76,7 @@
 # --- exceptions
 
 
-def test_action_that_raises_leaves_the_others_and_the_process_alone(harness):
+def test_exception_in_an_action_does_not_affect_other_actions(harness):
     with mock.patch.object(RequestTable, "send", side_effect=OSError):
         handle_with_actions(harness, actions.SendRequest("r1", 11), actions.LogMessage("after"))
     harness.round_trip(harness.connect_client())
@@ -85,7 +85,7 @@
     assert any("unhandled exception" in line for line in harness.log_lines)
 
 
-def test_timer_that_an_exception_may_have_lost_is_replaced(harness):
+def test_recovery_timer_replaces_a_timer_lost_to_an_exception(harness):
     process = harness.router_process
 
     with (
@@ -100,22 +100,22 @@
         process.loop.run_once(0)
 
     assert TimerFired(RECOVERY_TIMER_TOKEN) in events_of(handle)
-    assert any("unhandled exception in the decisions" in line for line in harness.log_lines)
+    assert any("unhandled exception in the decision module" in line for line in harness.log_lines)
 
 
-def test_what_was_decided_before_an_exception_of_the_decisions_is_carried_out(harness, worker, client):
+def test_actions_decided_before_an_exception_are_carried_out(harness, worker, client):
     process = harness.router_process
     client.send_request()
     harness.run_until(lambda: worker.requests, "the first request runs")
     worker.answer(worker.requests[0])
-    harness.run_until(lambda: 1 in client.answer_kinds(), "it is answered")
+    harness.run_until(lambda: 1 in client.answer_kinds(), "the first request is answered")
     process.router._handlers[TimerFired] = mock.Mock(side_effect=KeyError)
 
     client.send_request(call="ee" * 8)
     [served] = process.listener.connections
     assert wait_readable(served.connection._sock)
-    served.connection._ready(READ)
-    process.loop.submit(TimerFired(1))  # in the same batch, behind the request
+    served.connection._on_ready(READ)
+    process.loop.submit(TimerFired(1))  # in the same batch as the request, and after it
     harness.run_until(lambda: len(worker.requests) == 2, "the second request runs")
 
-    assert any("the decisions" in line for line in harness.log_lines)
+    assert any("the decision module" in line for line in harness.log_lines)
--- a/tests/net/test_exchange_queue.py
+++ b/tests/net/test_exchange_queue.py
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def exchanges(results):
-    """Three exchanges that share a list of results."""
+    """Three exchanges that deliver their results to the same list."""
     return [start_order(worker_id, results) for worker_id in range(3)]
 
 
@@ -28,7 +28,7 @@
     assert results == [(CloseReason.CANCELLED, False)]
 
 
-def test_all_are_taken_out_oldest_first(queue, exchanges):
+def test_exchanges_are_taken_out_oldest_first(queue, exchanges):
     taken = queue.take_all()
 
     assert list(taken) == exchanges
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -1,4 +1,4 @@
-"""Tests of `reload`."""
+"""Tests of `reload`: switching to a new endpoint log, ignored changes, and files that fail to load."""
 
 import errno
 from unittest import mock
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def make_reload(harness):
-    """Make the reload of the router's configuration with a function that reads the new one."""
+    """Create a reload of the router's configuration, given a function that reads the new configuration."""
 
     def make(read_config):
         process = harness.router_process
@@ -34,14 +34,14 @@
     new_config = msgspec.structs.replace(harness.router_process.config, endpoint_log=moved.address)
 
     make_reload(lambda: new_config).run()
-    harness.run_until(moved.requests, "the new log has a request")
+    harness.run_until(moved.requests, "the new endpoint log receives a request")
 
     host, port = moved.address
     assert moved.requests() == [["since", "1"]]
     assert configuration_lines(harness) == [f"configuration reloaded: endpoint log at {host}:{port}"]
 
 
-def test_reload_logs_the_changed_keys_that_take_effect_at_the_start_only(harness, make_reload):
+def test_reload_logs_the_changed_keys_that_take_effect_only_at_startup(harness, make_reload):
     config = harness.router_process.config
     settings = msgspec.structs.replace(config.settings, zone="other")
     transport = msgspec.structs.replace(config.transport, keepalive_ms=1.0)
@@ -54,7 +54,7 @@
     host, port = config.endpoint_log
     assert configuration_lines(harness) == [
         f"configuration reloaded: endpoint log at {host}:{port}; "
-        "changed, but read only at the start: name, limits.memory_mb, settings"
+        "changes that need a restart: name, limits.memory_mb, settings"
     ]
     assert harness.router_process.config is config
 
@@ -69,13 +69,13 @@
     assert client._connection is connection
 
 
-def test_file_that_cannot_be_read_for_a_moment_is_read_again(harness, make_reload):
+def test_reload_is_retried_after_a_transient_read_error(harness, make_reload):
     config = harness.router_process.config
     error = UnreadableFileError("ROUTER_CONFIG", "too many open files", errno.EMFILE)
     read_config = mock.Mock(side_effect=[error, error, config])
 
     make_reload(read_config).run()
-    harness.run_until(lambda: configuration_lines(harness), "it is reloaded")
+    harness.run_until(lambda: configuration_lines(harness), "the configuration is reloaded")
 
     assert read_config.call_count == 3
     [line] = configuration_lines(harness)
@@ -96,7 +96,7 @@
     if is_retried:
         assert configuration_lines(harness) == []
         reload._retry_until_ms -= RETRY_MS + 1
-    harness.run_until(lambda: configuration_lines(harness), "it is reported")
+    harness.run_until(lambda: configuration_lines(harness), "the error is reported")
 
     assert read_config.call_count == 1 + is_retried
     assert configuration_lines(harness) == ["configuration not reloaded: ROUTER_CONFIG: unreadable"]
--- a/tests/net/test_socket_reader.py
+++ b/tests/net/test_socket_reader.py
@@ -1,4 +1,4 @@
-"""Tests of `socket_reader`, on loopback."""
+"""Tests of `socket_reader`, over loopback."""
 
 import errno
 import time
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def open_reader(loop, accept_socket):
-    """Make readers of accepted sockets, each with its peer; `wrap` replaces the socket."""
+    """Create readers of accepted sockets, each with its socket and peer; `wrap` may replace the socket."""
 
     def make(wrap=lambda sock: sock):
         sock, peer = accept_socket()
@@ -36,7 +36,7 @@
     assert reader.receive() is None
 
 
-def test_read_that_fails_for_a_moment_returns_none_and_the_next_one_the_bytes(open_reader):
+def test_read_returns_none_after_a_transient_error_and_the_bytes_on_retry(open_reader):
     reader, sock, peer = open_reader(lambda sock: FailingAtFirstSocket(sock, errno.ENOMEM))
     peer.sock.send(b"request")
     assert wait_readable(sock)
--- a/tests/net/test_start_order_limit.py
+++ b/tests/net/test_start_order_limit.py
@@ -1,4 +1,4 @@
-"""Tests of the limit on start orders, which counts when they are sent and the requests that stay."""
+"""Tests of the rate limit of start orders, which depends on send times and ignores cancelled requests."""
 
 from unittest import mock
 
@@ -13,45 +13,45 @@
 from function_router.net.close_reason import CloseReason
 from function_router.net.codecs import worker_frames
 
-LIMITED = {"family_info": {**SETTINGS["family_info"], "load_window": 5000.0, "free_loads": 2.0}}
+LIMITED_START_ORDERS = {"family_info": {**SETTINGS["family_info"], "load_window": 5000.0, "free_loads": 2.0}}
 CLIENT_ID = "ab" * 8
 
 
 def shift_clock(harness, shift_ms):
-    """Let so much time pass on the clock from which the decisions get the time."""
+    """Advance the clock from which the decision module gets the time."""
     clock = harness.router_process.loop.clock
     now_ms = clock.now_ms
     clock.now_ms = lambda: now_ms() + shift_ms
 
 
 def count_orders(harness, count):
-    """Have the decisions count so many orders that are sent now."""
+    """Have the decision module count `count` orders as sent now."""
     now_ms = harness.router_process.loop.clock.now_ms()
     for _ in range(count):
         harness.router_process.router.start_order_limits.sent.add(now_ms)
 
 
-def order_now(harness, instances):
-    """Carry out a start order that was decided on now."""
+def send_start_order(harness, instances):
+    """Send a start order that is decided on and counted now."""
     now_ms = harness.router_process.loop.clock.now_ms()
     harness.table.begin_batch(now_ms)
     harness.router_process.router.start_order_limits.sent.add(now_ms)
     harness.table.ensure_instances(EnsureInstances(UNLISTED_WORKER_ID, FUNCTION, instances))
 
 
-def order_at_unconnected(harness, worker):
-    """Carry out a start order to a worker to which no connection is established yet."""
+def send_start_order_before_connecting(harness, worker):
+    """Send a start order to a worker to which no connection is established yet."""
     harness.add_unlisted_worker(worker)
-    order_now(harness, instances=1)
+    send_start_order(harness, instances=1)
 
 
 def ordered_instances(worker):
-    """The numbers of instances in the start orders and probes that the worker got."""
+    """Return the numbers of instances in the start orders and probes that the worker received."""
     return [frame.fields["slots_up"] for _, frame in worker.received(worker_frames.ENSURE_INSTANCES)]
 
 
 def fill_socket(connection):
-    """Write until the worker, which must not read, takes no more; the last piece that was written."""
+    """Write until the socket buffers are full, and return the last write; the worker must not read."""
     filler = connection.connection.write(b"")
     while not connection.connection._writer.is_blocked:
         filler = connection.connection.write(worker_frames.encode_cancel(b"nobody00") * 50_000)
@@ -60,7 +60,7 @@
 
 
 def test_requests_that_clients_cancel_do_not_raise_the_limit(start_router):
-    harness = start_router(FakeWorker(instances=None), settings=LIMITED)
+    harness = start_router(FakeWorker(instances=None), settings=LIMITED_START_ORDERS)
     client = harness.connect_client()
 
     for seqid in range(1, 41):
@@ -71,30 +71,30 @@
     assert harness.router_process.router.fleet.arrivals.recent == {}
 
 
-def test_id_that_is_sent_again_after_each_rejection_counts_once(start_router):
-    harness = start_router(FakeWorker(instances=None), settings=LIMITED)
+def test_request_id_sent_again_after_each_rejection_counts_once(start_router):
+    harness = start_router(FakeWorker(instances=None), settings=LIMITED_START_ORDERS)
     client = harness.connect_client()
 
     for seqid in range(1, 11):
         client.send_request(call=CLIENT_ID, seqid=seqid, ttl="52")
-        harness.run_until(lambda seqid=seqid: seqid in client.answer_kinds(), "it is rejected")
+        harness.run_until(lambda seqid=seqid: seqid in client.answer_kinds(), "the request is rejected")
 
     assert set(client.answer_kinds().values()) == {"throttled"}
     assert list(harness.router_process.router.fleet.arrivals.recent) == [CLIENT_ID]
 
 
 @pytest.mark.parametrize(("others", "is_sent"), [(1, True), (2, False)], ids=["room", "no-room"])
-def test_order_whose_connection_is_late_keeps_to_the_limit_of_when_it_is_sent(start_router, others, is_sent):
-    harness = start_router(settings=LIMITED)
+def test_order_delayed_by_its_connection_is_limited_as_of_when_it_is_sent(start_router, others, is_sent):
+    harness = start_router(settings=LIMITED_START_ORDERS)
     worker = FakeWorker("s-9", instances=None)
-    order_at_unconnected(harness, worker)
+    send_start_order_before_connecting(harness, worker)
     shift_clock(harness, 4500.0)
     count_orders(harness, others)
     [connection] = harness.connections_to()
 
-    harness.run_until(lambda: connection.is_connected, "it is established")
+    harness.run_until(lambda: connection.is_connected, "the connection is established")
     harness.probe()
-    harness.run_until(lambda: worker.frames, "what is sent after it arrives")
+    harness.run_until(lambda: worker.frames, "the probe, which is sent after the order, arrives")
 
     assert ("1" in ordered_instances(worker)) == is_sent
     ordered = list(harness.router_process.router.start_order_limits.sent)
@@ -103,10 +103,10 @@
     assert min(ordered) > one_second_ago_ms
 
 
-def test_order_behind_bytes_that_the_worker_does_not_read_is_checked_again(start_router):
-    harness = start_router(settings=LIMITED)
+def test_order_behind_unread_bytes_is_checked_again(start_router):
+    harness = start_router(settings=LIMITED_START_ORDERS)
     worker = FakeWorker("s-9", instances=None)
-    order_at_unconnected(harness, worker)
+    send_start_order_before_connecting(harness, worker)
     harness.run_until(lambda: worker.frames, "a connection is established")
     [connection, *_] = harness.connections_to()
     harness.router_process.router.start_order_limits.sent.clear()
@@ -116,15 +116,15 @@
     with mock.patch.object(worker_connection, "MAX_PENDING_BYTES", 1 << 30):
         for other in harness.connections_to()[1:]:
             other.connection.close(CloseReason.IDLE)
-        order_now(harness, instances=2)
+        send_start_order(harness, instances=2)
     assert [exchange.instances for exchange in connection.unwritten()] == [2]
 
     shift_clock(harness, 4500.0)
     count_orders(harness, 2)
     worker.receive = receive
-    harness.run_until(lambda: not connection.connection.pending_bytes, "all is written")
-    harness.run_until(lambda: filler.written == len(filler.data), "the filler too")
+    harness.run_until(lambda: not connection.connection.pending_bytes, "all bytes are written")
+    harness.run_until(lambda: filler.written == len(filler.data), "the filler is written, too")
     harness.probe()
-    harness.run_until(lambda: "0" in ordered_instances(worker), "what is sent after it arrives")
+    harness.run_until(lambda: "0" in ordered_instances(worker), "the probe arrives")
 
     assert "2" not in ordered_instances(worker)
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -1,4 +1,4 @@
-"""Tests of `start_times`, with a wall clock that is set while the router runs."""
+"""Tests of `start_times` with a wall clock that is set while the router runs."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 class FakeMachine:
-    """A machine whose wall clock is wrong by some time; both clocks advance together."""
+    """A machine whose wall clock is wrong by `wrong_by_ms`; both of its clocks advance together."""
 
     def __init__(self, wrong_by_ms=0.0):
         self.monotonic_ms = 1000.0
@@ -20,17 +20,17 @@
         self.start_times = StartTimes(self.clock)
 
     def advance(self, elapsed_ms):
-        """Let time pass."""
+        """Advance both clocks."""
         self.monotonic_ms += elapsed_ms
         self.true_unix_ms += elapsed_ms
 
     def set_wall_clock(self, wrong_by_ms):
-        """Set the wall clock, and let the router see it."""
+        """Set the wall clock, and have the router record the step."""
         self.wrong_by_ms = wrong_by_ms
-        self.clock.note_wall_clock(self.true_unix_ms + wrong_by_ms - self.monotonic_ms)
+        self.clock.record_wall_clock_offset(self.true_unix_ms + wrong_by_ms - self.monotonic_ms)
 
     def age_ms(self, true_age_ms, *, worker_id=WORKER_ID, is_live_update=False):
-        """The age that the router computes for a worker of a true age."""
+        """Return the age that the router computes for a worker of a given true age."""
         started_at = self.true_unix_ms - true_age_ms
         converted = self.start_times.convert(worker_id, started_at, is_live_update=is_live_update)
         return self.clock.now_ms() - converted
@@ -45,7 +45,7 @@
     assert 0.0 <= machine.age_ms(8_000.0, is_live_update=is_live_update) <= 8_000.0
 
 
-def test_wall_clock_that_was_wrong_at_the_start_and_was_set_right_is_trusted():
+def test_wall_clock_that_was_corrected_after_startup_is_used():
     machine = FakeMachine(wrong_by_ms=HOUR_MS)
     machine.set_wall_clock(0.0)
 
@@ -67,7 +67,7 @@
     assert machine.age_ms(10 * MAX_LIVE_UPDATE_AGE_MS, is_live_update=True) == 10 * MAX_LIVE_UPDATE_AGE_MS
 
 
-def test_repeated_start_is_the_same_start_whatever_happened_to_the_wall_clock():
+def test_repeated_start_time_is_converted_alike_after_a_step_of_the_wall_clock():
     machine = FakeMachine()
     started_at = machine.true_unix_ms - 2_000.0
     first = machine.start_times.convert(WORKER_ID, started_at, is_live_update=True)
--- a/tests/soak_test/test_command_line.py
+++ b/tests/soak_test/test_command_line.py
@@ -1,4 +1,4 @@
-"""Tests of the soak test's command line: the plans that it runs, its report, and its exit code."""
+"""Tests of the soak test's command line: the plans that it runs, its report, and its exit status."""
 
 import pytest
 import typer
@@ -6,11 +6,11 @@
 
 from soak import __main__ as command_line
 from soak.plan import FaultKind
-from soak.rules import Rule, Verdict, Violation
+from soak.rules import CheckResult, Rule, Violation
 
 
-class StubRuns:
-    """Stands in for runs: keeps their plans and folders, and breaks a rule on some seeds."""
+class FakeRuns:
+    """Fakes runs: records their arguments, and reports violations for the seeds in `broken_seeds`."""
 
     def __init__(self):
         self.plans = []
@@ -19,29 +19,29 @@
         self.broken_seeds = set()
 
     def run(self, plan, folder, *, uses_shim):
-        """Keep what would run, and return a verdict."""
+        """Record the arguments of a run, and return a result."""
         folder.path.mkdir(parents=True)
         self.plans.append(plan)
         self.folders.append(folder.path)
         self.uses_shim.append(uses_shim)
-        verdict = Verdict()
-        verdict.figures["requests"] = 7
+        check_result = CheckResult()
+        check_result.figures["requests"] = 7
         if plan.seed in self.broken_seeds:
-            verdict.add([Violation(Rule.LOST, f"example {number}") for number in range(5)])
-        return verdict
+            check_result.add([Violation(Rule.LOST, f"example {number}") for number in range(5)])
+        return check_result
 
 
 @pytest.fixture
 def runs(monkeypatch):
-    """The runs that the command line starts."""
-    stub = StubRuns()
+    """Replace the runs that the command line starts by fakes, and return these."""
+    stub = FakeRuns()
     monkeypatch.setattr(command_line, "_run", stub.run)
     return stub
 
 
 @pytest.fixture
 def invoke():
-    """Invoke the command line with arguments."""
+    """Return a function that invokes the command line with arguments."""
     app = typer.Typer()
     app.command()(command_line.main)
     return lambda *arguments: CliRunner().invoke(app, arguments)
@@ -51,7 +51,7 @@
     return {fault.kind for fault in plan.faults}
 
 
-def test_runs_as_many_seeds_as_asked_for_from_the_first(invoke, runs):
+def test_requested_number_of_seeds_is_run_from_the_first(invoke, runs):
     result = invoke("--seed", "5", "--seeds", "3")
 
     assert [plan.seed for plan in runs.plans] == [5, 6, 7]
@@ -65,7 +65,7 @@
     assert kinds_of(runs.plans[0]) == {FaultKind.ROUTER_PAUSE, FaultKind.CALLS_FAIL}
 
 
-def test_all_kinds_are_drawn_from_without_a_fault_option(invoke, runs):
+def test_all_kinds_are_drawn_without_a_fault_option(invoke, runs):
     invoke("--seconds", "600")
 
     assert kinds_of(runs.plans[0]) == set(FaultKind)
@@ -97,7 +97,7 @@
     assert "1 of 2 runs kept all rules" in result.output
 
 
-def test_records_are_removed_unless_they_are_to_be_kept(invoke, runs, tmp_path):
+def test_records_are_removed_without_the_keep_option(invoke, runs, tmp_path):
     invoke()
     invoke("--keep", str(tmp_path))
 
--- a/tests/soak_test/test_faults.py
+++ b/tests/soak_test/test_faults.py
@@ -1,4 +1,4 @@
-"""Tests of the registry of faults, and of their exclusion."""
+"""Tests of the registry of faults, and of the mutual exclusion of faults."""
 
 import asyncio
 
@@ -11,15 +11,15 @@
 from soak.shim import ShimControl
 
 EXCLUSIVE = FaultKind.ROUTER_KILL
-ALSO_EXCLUSIVE = FaultKind.ROUTER_ROLL
+OTHER_EXCLUSIVE = FaultKind.ROUTER_ROLL
 SHARED = FaultKind.CLOCK_STEP
 ON_WORKERS = FaultKind.WORKER_HANG
-ALSO_ON_WORKERS = FaultKind.WORKER_RESTART
+OTHER_ON_WORKERS = FaultKind.WORKER_RESTART
 ON_CLIENTS = FaultKind.BURST
 
 
 class StubCluster:
-    """Targets that are strings, for faults that only record them."""
+    """A cluster whose targets are strings, for faults that only record them."""
 
     routers = ("router 0", "router 1", "router 2")
     workers = ("worker 0", "worker 1", "worker 2")
@@ -29,8 +29,8 @@
     """Faults that last until they are released.
 
     Attributes:
-        injected: the kind and target of each, in order.
-        release: ends all of them.
+        injected: The kind and the target of each injected fault, in order.
+        release: The event that ends all faults.
     """
 
     def __init__(self):
@@ -50,7 +50,10 @@
 
 @pytest.fixture
 def inject(monkeypatch):
-    """Begin faults one after the other while those before them last; returns what was injected."""
+    """Return a function that starts faults one after the other while earlier ones last.
+
+    The function returns the kind and the target of each injected fault.
+    """
 
     async def run(*faults):
         recorded = RecordedFaults()
@@ -74,7 +77,7 @@
 
 
 def fault(kind, *targets):
-    """A fault of these routers and worker slots."""
+    """Return a fault of the routers and worker slots with these numbers."""
     return Fault(kind, 0.0, 1.0, routers=list(targets), workers=list(targets), intensity=0.5)
 
 
@@ -82,7 +85,7 @@
     assert set(FAULTS) == set(FaultKind)
 
 
-def test_kinds_that_come_on_top_of_any_other_are_the_known_ones():
+def test_kinds_that_exclude_no_other_fault_are_the_expected_ones():
     shared = {
         kind for kind, each in FAULTS.items() if isinstance(each, RouterFault) and not each.is_exclusive
     }
@@ -105,9 +108,9 @@
 
 @pytest.mark.parametrize(
     ("first", "second", "name"),
-    [(EXCLUSIVE, ALSO_EXCLUSIVE, "router"), (ON_WORKERS, ALSO_ON_WORKERS, "worker")],
+    [(EXCLUSIVE, OTHER_EXCLUSIVE, "router"), (ON_WORKERS, OTHER_ON_WORKERS, "worker")],
 )
-def test_second_exclusive_fault_leaves_out_targets_of_the_first(inject, first, second, name):
+def test_second_exclusive_fault_skips_targets_of_the_first(inject, first, second, name):
     injected = inject(fault(first, 0, 1), fault(second, 1, 2))
 
     assert injected == [(first, f"{name} 0"), (first, f"{name} 1"), (second, f"{name} 2")]
--- a/tests/soak_test/test_module_process.py
+++ b/tests/soak_test/test_module_process.py
@@ -1,4 +1,4 @@
-"""Tests of the soak test's child processes: their start, their end, and what happens if they don't start."""
+"""Tests of the soak test's child processes: start, failed start, and exit."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from soak.errors import ProcessStartError
 from soak.module_process import ModuleProcess
 
-SILENT_MODULE = "soak.errors"  # runs to its end without a line of output
-FINISH_S = 60.0  # far longer than a busy machine takes
+SILENT_MODULE = "soak.errors"  # exits without output
+FINISH_TIMEOUT_S = 60.0  # far longer than an exit takes on a busy machine
 
 
 def test_process_that_ends_without_a_line_is_an_error():
@@ -23,7 +23,7 @@
         asyncio.run(start())
 
 
-def test_process_says_where_it_listens_and_refuses_connections_once_it_is_cleaned_up():
+def test_process_prints_its_port_and_stops_listening_after_clean_up():
     async def start_and_clean_up():
         process = await ModuleProcess.start("soak.worker")
         try:
@@ -38,11 +38,11 @@
     asyncio.run(start_and_clean_up())
 
 
-def test_process_exits_as_its_input_is_closed(tmp_path):
+def test_process_exits_after_its_input_is_closed(tmp_path):
     async def start_and_finish():
         process = await ModuleProcess.start("soak.clients", "1", "1", str(tmp_path / "clients.jsonl"))
         try:
-            await asyncio.wait_for(process.finish(FINISH_S), FINISH_S / 2)
+            await asyncio.wait_for(process.finish(FINISH_TIMEOUT_S), FINISH_TIMEOUT_S / 2)
         finally:
             await process.clean_up()
 
--- a/tests/soak_test/test_ports.py
+++ b/tests/soak_test/test_ports.py
@@ -1,58 +1,58 @@
-"""Tests of the ports that the soak test's listeners get."""
+"""Tests of the allocation of ports to the soak test's listeners."""
 
 import socket
 
 import pytest
 
 from soak.errors import NoFreePortError
-from soak.ports import PortRange
+from soak.ports import PortAllocator
 
 
 @pytest.fixture
 def free_port():
-    """A port that nobody listens on."""
+    """Return a port on which nothing listens."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
 
 
 @pytest.fixture
-def make_range(cleanups, free_port):
-    """Make port ranges over the one free port; all are closed at the end."""
+def make_allocator(cleanups, free_port):
+    """Return a function that makes allocators of one free port; all are closed after the test."""
 
     def make():
-        ports = PortRange(range(free_port, free_port + 1))
+        ports = PortAllocator(range(free_port, free_port + 1))
         cleanups.callback(ports.close)
         return ports
 
     return make
 
 
-def test_port_is_handed_out_once(make_range, free_port):
-    ports = make_range()
+def test_port_is_allocated_once(make_allocator, free_port):
+    ports = make_allocator()
 
-    taken = ports.take()
+    allocated = ports.allocate()
 
-    assert taken == free_port
+    assert allocated == free_port
     with pytest.raises(NoFreePortError):
-        ports.take()
+        ports.allocate()
 
 
-def test_port_of_another_run_is_not_handed_out_before_it_listens(make_range):
-    make_range().take()
+def test_port_of_another_run_is_not_allocated_before_it_listens(make_allocator):
+    make_allocator().allocate()
 
     with pytest.raises(NoFreePortError):
-        make_range().take()
+        make_allocator().allocate()
 
 
-def test_port_of_a_run_that_has_ended_is_free_again(make_range, free_port):
-    ended = make_range()
-    ended.take()
+def test_port_of_a_run_that_has_ended_is_free_again(make_allocator, free_port):
+    ended = make_allocator()
+    ended.allocate()
     ended.close()
 
-    assert make_range().take() == free_port
+    assert make_allocator().allocate() == free_port
 
 
-def test_port_on_which_somebody_listens_is_not_handed_out(make_range, free_port):
+def test_port_in_use_is_not_allocated(make_allocator, free_port):
     with socket.create_server(("127.0.0.1", free_port)), pytest.raises(NoFreePortError):
-        make_range().take()
+        make_allocator().allocate()
--- a/tests/soak_test/test_proxy.py
+++ b/tests/soak_test/test_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of the soak test's proxy: what it forwards and records, and the faults that it injects."""
+"""Tests of the soak test's proxy: forwarding, recording, and injection of faults."""
 
 import asyncio
 import contextlib
@@ -16,11 +16,11 @@
 RUN = frames.encode_run(EXCHANGE_ID, "view", "f", 500.0, "", b"body")
 START_ORDER = frames.encode_ensure_instances(EXCHANGE_ID, "f", 2)
 ANSWER = frames.encode(frames.OK, EXCHANGE_ID, "", b"answer", frames.FROM_WORKER)
-PATIENCE_S = 5.0
+READ_TIMEOUT_S = 5.0
 
 
-class EchoWorker:
-    """A worker that answers each read with `ANSWER`, and keeps what it has read."""
+class FixedAnswerWorker:
+    """A worker that answers each read with `ANSWER`, and stores the data that it has read."""
 
     def __init__(self):
         self.port = 0
@@ -36,7 +36,7 @@
 
 
 class ProxyHarness:
-    """A proxy for one router and one worker, and connections of the router."""
+    """A proxy for one router and one worker, and the connections of the router."""
 
     def __init__(self, proxy, worker):
         self.proxy = proxy
@@ -44,7 +44,7 @@
         self.resources = contextlib.AsyncExitStack()
 
     async def command(self, target_port=0, **options):
-        """Apply a command; it forwards to the worker unless another target is given."""
+        """Apply a command; it forwards to the worker unless `target_port` is another port or None."""
         port = self.worker.port if target_port == 0 else target_port
         await self.proxy.apply(ProxyCommand(WORKER, port, **options))
 
@@ -55,19 +55,19 @@
         return reader, writer
 
     async def exchange(self, data):
-        """Send data on a connection of its own, and read what comes back first."""
+        """Send data on a new connection, and return the result of the first read."""
         reader, writer = await self.connect()
         writer.write(data)
-        return await asyncio.wait_for(reader.read(65_536), PATIENCE_S)
+        return await asyncio.wait_for(reader.read(65_536), READ_TIMEOUT_S)
 
 
 @pytest.fixture
 def with_proxy(tmp_path):
-    """Run a coroutine function with a proxy; returns its result and the records."""
+    """Return a function that runs a scenario with a proxy, and returns its result and the records."""
 
-    async def run_in_loop(use):
+    async def run_in_loop(scenario):
         recorder = Recorder(tmp_path / "proxy.jsonl")
-        worker = EchoWorker()
+        worker = FixedAnswerWorker()
         harness = ProxyHarness(Proxy(1, 1, recorder), worker)
         async with harness.resources:
             server = await asyncio.start_server(worker.serve, "127.0.0.1", 0)
@@ -76,23 +76,23 @@
             await harness.proxy.listen()
             await harness.command()
             harness.resources.push_async_callback(harness.command, None)
-            result = await use(harness)
+            result = await scenario(harness)
         recorder.close()
         return result
 
-    def run(use):
-        result = asyncio.run(run_in_loop(use))
+    def run(scenario):
+        result = asyncio.run(run_in_loop(scenario))
         return result, list(read_records(tmp_path / "proxy.jsonl"))
 
     return run
 
 
 def test_frames_are_forwarded_and_recorded_in_both_directions(with_proxy):
-    async def use(harness):
+    async def scenario(harness):
         answer = await harness.exchange(RUN)
         return answer, harness.worker.received
 
-    (answer, received), records = with_proxy(use)
+    (answer, received), records = with_proxy(scenario)
 
     assert (answer, received) == (ANSWER, RUN)
     assert [type(record) for record in records] == [AttemptSeen, WorkerAnswerSeen]
@@ -108,44 +108,44 @@
 
 
 def test_command_without_a_target_resets_connections_and_refuses_new_ones(with_proxy):
-    async def use(harness):
+    async def scenario(harness):
         reader, writer = await harness.connect()
         writer.write(RUN)
-        await asyncio.wait_for(reader.read(65_536), PATIENCE_S)
+        await asyncio.wait_for(reader.read(65_536), READ_TIMEOUT_S)
         await harness.command(None)
         with pytest.raises(ConnectionResetError):
-            await asyncio.wait_for(reader.read(1), PATIENCE_S)
+            await asyncio.wait_for(reader.read(1), READ_TIMEOUT_S)
         with pytest.raises(ConnectionRefusedError):
             await harness.connect()
         await harness.command()
         return await harness.exchange(RUN)
 
-    answer, _ = with_proxy(use)
+    answer, _ = with_proxy(scenario)
 
     assert answer == ANSWER
 
 
 def test_reset_of_connections_leaves_the_proxy_listening(with_proxy):
-    async def use(harness):
+    async def scenario(harness):
         reader, writer = await harness.connect()
         writer.write(RUN)
-        await asyncio.wait_for(reader.read(65_536), PATIENCE_S)
+        await asyncio.wait_for(reader.read(65_536), READ_TIMEOUT_S)
         await harness.command(reset_connections=True)
         with pytest.raises(ConnectionResetError):
-            await asyncio.wait_for(reader.read(1), PATIENCE_S)
+            await asyncio.wait_for(reader.read(1), READ_TIMEOUT_S)
         return await harness.exchange(RUN)
 
-    answer, _ = with_proxy(use)
+    answer, _ = with_proxy(scenario)
 
     assert answer == ANSWER
 
 
 def test_corrupted_answer_is_recorded_as_the_worker_sent_it(with_proxy):
-    async def use(harness):
+    async def scenario(harness):
         await harness.command(corrupted_share=1.0)
         return await harness.exchange(RUN)
 
-    answer, records = with_proxy(use)
+    answer, records = with_proxy(scenario)
 
     assert answer != ANSWER
     assert records[1].code == frames.OK
--- a/tests/soak_test/test_run.py
+++ b/tests/soak_test/test_run.py
@@ -1,4 +1,4 @@
-"""A short run of the soak test: its processes start, talk to each other, end, and keep the rules."""
+"""Short runs of the soak test with real processes, which have to communicate, exit, and keep all rules."""
 
 import re
 import subprocess
@@ -9,12 +9,12 @@
 
 ROOT = Path(__file__).parents[2]
 TIMEOUT_S = 120
-SEEDS = (1, 2)  # which between them draw most kinds of faults
-SMALL = ["--routers", "2", "--workers", "2", "--seconds", "3", "--rate", "40", "--no-shim"]
+SEEDS = (1, 2)  # their plans together contain most kinds of faults
+SMALL_RUN_OPTIONS = ["--routers", "2", "--workers", "2", "--seconds", "3", "--rate", "40", "--no-shim"]
 
 
 def test_small_run_without_faults_serves_and_keeps_all_rules(tmp_path):
-    command = [sys.executable, "-m", "soak", *SMALL, "--no-faults", "--keep", str(tmp_path)]
+    command = [sys.executable, "-m", "soak", *SMALL_RUN_OPTIONS, "--no-faults", "--keep", str(tmp_path)]
 
     run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False)
 
--- a/tests/soak_test/test_traffic.py
+++ b/tests/soak_test/test_traffic.py
@@ -1,4 +1,4 @@
-"""Tests of the control of the soak test's clients: a change leaves all else as it was."""
+"""Tests of the control of the soak test's clients: a change leaves all other settings as they were."""
 
 import asyncio
 
@@ -8,24 +8,24 @@
 from soak.traffic import Traffic
 
 
-class CommandedProcess:
-    """Stands in for the clients' process, and keeps the commands."""
+class FakeProcess:
+    """Fakes the clients' process, and stores the commands that it receives."""
 
     def __init__(self):
         self.commands = []
 
     async def send_command(self, command):
-        """Keep a command."""
+        """Store a command."""
         self.commands.append(command)
 
 
 @pytest.fixture
 def command_after():
-    """The last command, after traffic to two routers was started and changed."""
+    """Return a function that starts traffic to two routers, changes it, and returns the last command."""
 
     def run(change):
         async def start_and_change():
-            process = CommandedProcess()
+            process = FakeProcess()
             traffic = Traffic(process, router_count=2)
             await traffic.start([1, 2], 50.0)
             await change(traffic)
@@ -57,7 +57,7 @@
     [lambda traffic: traffic.avoid_router(1), lambda traffic: traffic.use_router(1, 2)],
     ids=["avoided", "used again"],
 )
-def test_router_that_is_avoided_or_used_again_is_not_kept_from_connections(command_after, change):
+def test_avoided_or_reused_router_is_removed_from_open_only(command_after, change):
     async def open_none_then_change(traffic):
         await traffic.open_no_connections(1)
         await change(traffic)
