--- a/function_router/decisions/endpoint_leases.py
+++ b/function_router/decisions/endpoint_leases.py
@@ -82,7 +82,9 @@
             None  # latest time at which the list is known to have been complete
         )
         self._interrupted_ms = math.inf  # time of the first interruption since the last confirmation
-        self._followed_since_ms = math.inf  # time of the first interruption, which is reported at the start
+        self._first_interrupted_ms = (
+            math.inf
+        )  # time of the first interruption, which is reported at the start
         self._checked: dict[int, Worker] = {}  # workers whose health check answers may need clearing, by id
 
     # --- the list -------------------------------------------------------------------------------
@@ -124,7 +126,7 @@
     def record_interrupted(self, now_ms: float) -> None:
         """Let the lease on the list expire, as the log is not connected. It may be expiring already."""
         self._interrupted_ms = min(self._interrupted_ms, now_ms)
-        self._followed_since_ms = min(self._followed_since_ms, now_ms)
+        self._first_interrupted_ms = min(self._first_interrupted_ms, now_ms)
 
     # --- workers --------------------------------------------------------------------------------
 
@@ -232,8 +234,8 @@
             self._outbox.add(LogMessage(f"worker {worker.id} is ready, perhaps restarted"))
         elif lease.drain_reported_ms is not None:
             self._outbox.add(LogMessage(f"worker {worker.id} is ready again"))
-        lease.ready_as_of_ms = max(lease.ready_as_of_ms, event.asked_at_ms)
-        lease.process_seen_ms = max(lease.process_seen_ms, event.asked_at_ms)
+        lease.ready_as_of_ms = max(lease.ready_as_of_ms, event.sent_at_ms)
+        lease.process_seen_ms = max(lease.process_seen_ms, event.sent_at_ms)
         lease.next_check_ms = -math.inf
         lease.recheck_interval_ms = RECHECK_INTERVAL_MS
         self._workers.set_drain_reported(worker, None)
@@ -246,7 +248,7 @@
         connection since that evidence.
         """
         lease = worker.lease
-        list_as_of_ms = self._followed_since_ms if self._confirmed_ms is None else self._confirmed_ms
+        list_as_of_ms = self._first_interrupted_ms if self._confirmed_ms is None else self._confirmed_ms
         process_seen_ms = max(list_as_of_ms, lease.process_seen_ms)
         if event.connected_at_ms <= process_seen_ms:
             return False
--- a/function_router/decisions/events.py
+++ b/function_router/decisions/events.py
@@ -90,7 +90,7 @@
     worker_id: int
     outcome: Outcome  # OK if the worker answered
     readiness: Readiness
-    asked_at_ms: float  # the worker received the health check at this time or later
+    sent_at_ms: float  # the worker received the health check at this time or later
     connected_at_ms: float  # the connection that carried the check was established at this time or earlier
     connection_lost_at_ms: float | None = (
         None  # when a connection to the worker last ended without being closed by this router
--- a/function_router/decisions/instances.py
+++ b/function_router/decisions/instances.py
@@ -27,7 +27,7 @@
 class SlotState(Enum):
     """Whether a worker has a free slot for a request."""
 
-    NONE = 0  # all slots are in use, or the worker is blocked
+    UNAVAILABLE = 0  # all slots are in use, or the worker is blocked
     UNVERIFIED = 1  # a slot is presumed to be free, but the worker must be probed first
     FREE = 2
 
@@ -58,7 +58,7 @@
         pool = request.function.pools[worker.id]
         slots = request.concurrency
         if now_ms < pool.blocked_until_ms or self.count(pool, worker, now_ms) * slots <= pool.in_flight:
-            return SlotState.NONE
+            return SlotState.UNAVAILABLE
         if (
             self._capacity.many_routers
             or not self._can_probe
--- a/function_router/net/health_checks.py
+++ b/function_router/net/health_checks.py
@@ -63,7 +63,7 @@
             worker_id=check.worker_id,
             outcome=outcome,
             readiness=readiness,
-            asked_at_ms=clock.from_monotonic_ms(check.asked_at_ms),
+            sent_at_ms=clock.from_monotonic_ms(check.sent_at_ms),
             connected_at_ms=clock.from_monotonic_ms(check.connected_at_ms),
             connection_lost_at_ms=None if lost_at_ms is None else clock.from_monotonic_ms(lost_at_ms),
         )
--- a/function_router/net/worker_messages.py
+++ b/function_router/net/worker_messages.py
@@ -301,12 +301,12 @@
 
     Attributes:
         on_done: Called once, with the health check and its result.
-        asked_at_ms: When the health check was encoded, on the monotonic clock; the worker cannot have read it
+        sent_at_ms: When the health check was encoded, on the monotonic clock; the worker cannot have read it
             earlier.
     """
 
     on_done: Callable[["HealthCheck", Result], None]
-    asked_at_ms: float = field(default=0.0, init=False)
+    sent_at_ms: float = field(default=0.0, init=False)
 
     @property
     def is_new_work(self) -> bool:
@@ -315,7 +315,7 @@
 
     def encode(self) -> bytes:
         """Encode the health check, and record the time."""
-        self.asked_at_ms = monotonic_ms()
+        self.sent_at_ms = monotonic_ms()
         return frames.encode_check_health(self.exchange_id)
 
     def outcome_of(self, code: int) -> Outcome:
--- a/tests/net/test_health_checks.py
+++ b/tests/net/test_health_checks.py
@@ -89,7 +89,7 @@
 
     [report] = reports.checks
     assert (report.outcome, report.readiness) == (outcome, readiness)
-    assert started_ms <= report.connected_at_ms <= report.asked_at_ms <= clock.now_ms()
+    assert started_ms <= report.connected_at_ms <= report.sent_at_ms <= clock.now_ms()
     assert report.connection_lost_at_ms is None
 
 
