--- a/function_router/decisions/actions.py
+++ b/function_router/decisions/actions.py
@@ -52,7 +52,7 @@
 
 
 class NoteWithheld(Struct, frozen=True):
-    """Record that a request was not sent to a worker because its readiness is unknown."""
+    """Record that a request was not sent to a worker because the worker has no valid lease."""
 
     request_id: str
     worker_id: int
--- a/function_router/decisions/admission.py
+++ b/function_router/decisions/admission.py
@@ -17,10 +17,10 @@
 ANSWER_LEAD_MS = 20.0
 
 # A queued request with less time left than this many median run times is expected to miss its objective. If
-# runs are long, this applies only in the final fraction of the objective.
+# runs are long, this applies only in the final fraction of the objective (`FINAL_OBJECTIVE_FRACTION`).
 RUNS_BEFORE_OBJECTIVE = 2.0
 
-# Burst of a tenant, in seconds of its quota.
+# Maximum burst of a tenant, in seconds of its quota.
 QUOTA_BURST_S = 1.0
 
 # With many routers, each one receives few requests of a tenant, at irregular intervals. The burst is
@@ -50,7 +50,7 @@
         self._buckets: dict[str, TokenBucket] = {}  # by tenant
 
     def charge_quota(self, tenant: str, now_ms: float) -> bool:
-        """Charge a request to its tenant's quota; returns whether this router's share is exceeded."""
+        """Charge a request to its tenant's quota, and return whether this router's share is exceeded."""
         quota_rps = self._quotas_rps.get(tenant)
         if quota_rps is None:
             return False
@@ -65,18 +65,18 @@
         return not bucket.try_take(now_ms, rate, burst)
 
     def will_miss_objective(self, request: Request, now_ms: float) -> bool:
-        """Whether a queued request has too little time left to be answered within its latency objective."""
+        """Return whether a queued request has too little time left to meet its latency objective."""
         runs_ms = RUNS_BEFORE_OBJECTIVE * self._durations.median_run_ms(request.function, now_ms)
         objective_ms = request.request_class.latency_objective_ms
         left_ms = request.arrived_ms + objective_ms - now_ms
         return left_ms < min(runs_ms, objective_ms * FINAL_OBJECTIVE_FRACTION)
 
     def is_due_on_arrival(self, request: Request, now_ms: float) -> bool:
-        """Whether a new request is answered without being sent because the next timer would be too late."""
+        """Return whether a new request is answered unsent, because the next timer would be too late."""
         return request.deadline_ms - now_ms <= TIMER_INTERVAL_MS + ANSWER_LEAD_MS
 
     def is_due_on_timer(self, request: Request, now_ms: float) -> bool:
-        """Whether the router answers a request itself now: it is given up, or the next timer is too late.
+        """Return whether the router answers a request now: it is given up, or the next timer is too late.
 
         Unlike `is_due_on_arrival`, this compares sums and not differences, because deadlines often fall
         exactly on this time, and sums and differences round differently.
@@ -86,7 +86,7 @@
         return now_ms + TIMER_INTERVAL_MS + ANSWER_LEAD_MS >= request.deadline_ms
 
     def _should_give_up(self, request: Request, now_ms: float) -> bool:
-        """Whether a request that will miss its objective is given up. It must have no attempt in flight.
+        """Return whether to give up a request that will miss its objective and has no attempt in flight.
 
         A request over quota is given up at once, any other after a fraction of its timeout. This leaves the
         client time for a retry.
@@ -99,17 +99,17 @@
         )
 
     def urgency(self, request: Request, now_ms: float) -> Urgency:
-        """Sort key of queued requests. The request with the smallest key is served first."""
+        """Return the sort key of queued requests. The request with the smallest key is served first."""
         will_miss = self.will_miss_objective(request, now_ms)
         return request.over_quota, will_miss, request.arrived_ms, request.id
 
     def limit_fraction(self, request: Request, now_ms: float) -> float:
-        """The fraction of each limit that a request may use."""
+        """Return the fraction of each limit that a request may use."""
         is_hedge = request.has_attempt_in_flight()
         if is_hedge or request.over_quota or self.will_miss_objective(request, now_ms):
             return LOW_PRIORITY_LIMIT_FRACTION
         return 1.0
 
     def is_at_limit(self, fraction: float = 1.0) -> bool:
-        """Whether a fraction of the limit on this router's attempts in flight is reached."""
+        """Return whether a fraction of the limit on this router's attempts in flight is reached."""
         return len(self._requests.recent_attempts) >= self._capacity.max_in_flight * fraction
--- a/function_router/decisions/arrivals.py
+++ b/function_router/decisions/arrivals.py
@@ -44,10 +44,10 @@
             recent.popitem(last=False)
 
     def recent_rate(self, now_ms: float) -> float:
-        """Arrivals per millisecond over the window."""
+        """Return the arrivals per millisecond over the window."""
         self.drop_old(now_ms)
         return len(self.recent) / self._window_ms
 
     def mean_rate(self, now_ms: float) -> float:
-        """Arrivals per millisecond since the start, averaged over at least the default window."""
+        """Return the arrivals per millisecond since the start, averaged over at least the default window."""
         return self.count / max(ARRIVAL_WINDOW_MS, now_ms - self.observed_since_ms)
--- a/function_router/decisions/capacity.py
+++ b/function_router/decisions/capacity.py
@@ -13,8 +13,8 @@
 from function_router.decisions.slow_start import SlowStart
 from function_router.decisions.workers import WorkerTable
 
-# Interval at which the limits are recomputed. This is not done at each event, as the limits are sums over all
-# workers.
+# Interval at which the limits are recomputed. They are not recomputed at each event, because they are sums
+# over all workers.
 REFRESH_INTERVAL_MS = 1_000.0
 
 # Allowance for sampling noise in a worker's limit, in square roots of its mean, which is the standard
@@ -54,15 +54,15 @@
         self.many_routers = False
         self.total_size = 1.0  # relative capacity of all ready workers
         self.worker_capacity = 0.0  # requests of all routers that a worker can process at the same time
-        self.max_in_flight = math.inf  # limit on this router's attempts at all workers
+        self.max_in_flight = math.inf  # limit on this router's attempts in flight at all workers
         self.refreshed_ms = -math.inf
 
     def size(self, worker: Worker, now_ms: float) -> float:
-        """The relative capacity of a worker: the size of its machine, reduced during slow start."""
+        """Return the relative capacity of a worker: the size of its machine, reduced during slow start."""
         return worker.machine_size * self._slow_start.capacity_share(worker, now_ms)
 
     def is_refresh_due(self, now_ms: float) -> bool:
-        """Whether the limits are older than the refresh interval."""
+        """Return whether the limits are older than the refresh interval."""
         return now_ms - self.refreshed_ms >= REFRESH_INTERVAL_MS
 
     def refresh(self, now_ms: float) -> None:
@@ -81,7 +81,7 @@
         self.max_in_flight = self._own_in_flight_limit(now_ms) if has_limit else math.inf
 
     def _limit_workers(self, now_ms: float) -> float:
-        """Set the limit of each worker; returns how many requests all workers can process simultaneously."""
+        """Set the limit of each worker, and return how many requests all workers can process at once."""
         router_count = self.router_count
         min_in_flight = MIN_IN_FLIGHT_LIMIT_MANY_ROUTERS if self.many_routers else MIN_IN_FLIGHT_LIMIT
         mean_in_flight = self._quota_per_ms * self._durations.unloaded_run_ms
@@ -94,9 +94,9 @@
         return total
 
     def _own_in_flight_limit(self, now_ms: float) -> float:
-        """This router's share of the requests that the responsive workers can answer in time.
+        """Return this router's share of the requests that the responsive workers can answer in time.
 
-        That is within the final fraction of the latency objective.
+        "In time" means within the final fraction of the latency objective.
         """
         workers = self._workers
         responsive = [worker for worker in workers.ready if worker.unresponsive_since_ms is None]
--- a/function_router/decisions/circuit_breakers.py
+++ b/function_router/decisions/circuit_breakers.py
@@ -22,7 +22,7 @@
         self._workers = workers
 
     def is_open(self, worker: Worker, class_name: str, now_ms: float) -> bool:
-        """Whether requests of a class must not go to a worker.
+        """Return whether requests of a class must not go to a worker.
 
         If the breakers of most workers are open, none has an effect, as in Envoy's panic mode.
         """
@@ -35,7 +35,7 @@
         return open_count * 2 <= len(ready)
 
     def is_tripped(self, worker: Worker, class_name: str) -> bool:
-        """Whether the breaker of a class at a worker has reached its threshold: it is open or half-open."""
+        """Return whether the breaker of a class at a worker is tripped, that is, open or half-open."""
         breaker = worker.breakers.get(class_name)
         return breaker is not None and breaker.is_tripped
 
--- a/function_router/decisions/dispatch.py
+++ b/function_router/decisions/dispatch.py
@@ -16,7 +16,7 @@
 
 
 class Dispatcher:
-    """Owns the queues. Sends requests to free slots, and requests instances for those left in a queue."""
+    """Owns the queues. Sends requests to free slots, and orders instances for requests left in a queue."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._waiting: dict[str, Function] = {}  # functions that may have queued requests, by name
 
     def has_waiting_functions(self) -> bool:
-        """Whether any function may have queued requests."""
+        """Return whether any function may have queued requests."""
         return bool(self._waiting)
 
     def enqueue(self, request: Request, now_ms: float) -> None:
@@ -76,7 +76,7 @@
             self.dispatch(function, now_ms)
 
     def send_at_once(self, request: Request, now_ms: float) -> None:
-        """Send another attempt if a slot is free now; otherwise neither queue it nor start an instance."""
+        """Send another attempt only if a slot is free now. Don't queue the request or start an instance."""
         queue = request.function.queue
         queue.append(request)
         self._serve_queue(request.function, now_ms)
@@ -137,7 +137,7 @@
             self._outbox.add(NoteWithheld(request.id, worker.id))
 
     def _may_send_to(self, request: Request, worker: Worker, limit_fraction: float, now_ms: float) -> bool:
-        """Whether a worker is usable, has capacity and is allowed by the retry policy."""
+        """Return whether a worker is usable, has capacity and is allowed by the retry policy."""
         if not self._health.is_usable(worker, request.request_class.name, now_ms):
             return False
         if not self._placement.has_capacity(worker, now_ms, fraction=limit_fraction):
--- a/function_router/decisions/durations.py
+++ b/function_router/decisions/durations.py
@@ -24,20 +24,20 @@
         self.unloaded_run_ms = latency_objective_ms / OBJECTIVE_IN_RUNS
 
     def record_run(self, function: Function, run_ms: float, now_ms: float, *, is_unloaded: bool) -> None:
-        """Add a run at a warm instance; `is_unloaded` if its worker had few other requests in flight."""
+        """Record a run at a warm instance, whose worker had few requests in flight if `is_unloaded`."""
         function.run_times.add(now_ms, run_ms)
         self.run_times.add(now_ms, run_ms)
         if is_unloaded:
             self.unloaded_run_ms += UNLOADED_RUN_GAIN * (run_ms - self.unloaded_run_ms)
 
     def median_run_ms(self, function: Function, now_ms: float) -> float:
-        """Te: the median run time of a function, or that of all functions until it has a sample."""
+        """Return Te: the median run time of a function, or that of all functions until it has a sample."""
         return function.run_times.median(now_ms) or self.run_times.median(now_ms) or DEFAULT_RUN_MS
 
     def median_run_of_all_ms(self, now_ms: float) -> float:
-        """The median run time of all functions; 0 without a sample."""
+        """Return the median run time of all functions; 0 without a sample."""
         return self.run_times.median(now_ms) or 0.0
 
     def median_start_ms(self, function: Function, now_ms: float) -> float:
-        """Tp: the median start time of a function, or the hint of its requests until it has a sample."""
+        """Return Tp: the median start time of a function, or its requests' hint until it has a sample."""
         return function.start_times.median(now_ms) or function.hinted_start_ms or DEFAULT_START_MS
--- a/function_router/decisions/endpoint_leases.py
+++ b/function_router/decisions/endpoint_leases.py
@@ -23,8 +23,8 @@
 from function_router.decisions.types import Readiness, WorkerState
 from function_router.decisions.workers import WorkerTable
 
-# If the log is silent for this long, the network code requests it again, and the events that the log has not
-# delivered by then count as announced from that time on. The log sends a heartbeat every second.
+# If the log is silent for this long, the network code requests it again. Events that the log has not
+# delivered by then count as announced only from that time on. The log sends a heartbeat every second.
 MAX_LOG_SILENCE_MS = 2_000.0
 
 # How long before the grace for sends a lease ends. This allows for the transfer of a frame to the worker, and
@@ -37,7 +37,7 @@
 # How long before its end a lease in use is renewed, so that requests rarely wait for a health check.
 RENEWAL_LEAD_MS = 150.0
 
-# How long before the end of the lease on the list workers in use get a first health check. The time has to be
+# Workers in use get a first health check this long before the lease on the list ends. The time has to be
 # short, because the list is often confirmed late when the log has only been restarted or moved.
 CHECK_LEAD_MS = 250.0
 
@@ -78,27 +78,24 @@
         self._lease_ms = max(grace_ms * MIN_LEASE_FRACTION, grace_ms - LEASE_MARGIN_MS)
         self._workers = workers
         self._outbox = outbox
-        self._confirmed_ms: float | None = (
-            None  # latest time at which the list is known to have been complete
-        )
+        # Latest time at which the list is known to have been complete; None before the first confirmation.
+        self._confirmed_ms: float | None = None
         self._interrupted_ms = math.inf  # time of the first interruption since the last confirmation
-        self._first_interrupted_ms = (
-            math.inf
-        )  # time of the first interruption, which is reported at the start
+        self._first_interrupted_ms = math.inf  # time of the first interruption, reported at startup
         self._checked: dict[int, Worker] = {}  # workers whose health check answers may need clearing, by id
 
     # --- the list -------------------------------------------------------------------------------
 
     @property
     def list_expires_ms(self) -> float:
-        """When the lease on the list ends unless it is renewed."""
+        """The time at which the lease on the list ends unless it is renewed."""
         expires_ms = self._interrupted_ms + self._lease_ms
         if self._confirmed_ms is None:
             return expires_ms
         return min(expires_ms, self._confirmed_ms + MAX_LOG_SILENCE_MS + self._lease_ms)
 
     def is_list_current(self, now_ms: float) -> bool:
-        """Whether the lease on the list is valid."""
+        """Return whether the lease on the list is valid."""
         return now_ms < self.list_expires_ms
 
     def record_confirmed(self, as_of_ms: float, now_ms: float) -> bool:
@@ -124,14 +121,17 @@
                 del self._checked[worker.id]
 
     def record_interrupted(self, now_ms: float) -> None:
-        """Let the lease on the list expire, as the log is not connected. It may be expiring already."""
+        """Let the lease on the list expire, as the router is not connected to the log.
+
+        Its remaining time counts from the first interruption since the last confirmation.
+        """
         self._interrupted_ms = min(self._interrupted_ms, now_ms)
         self._first_interrupted_ms = min(self._first_interrupted_ms, now_ms)
 
     # --- workers --------------------------------------------------------------------------------
 
     def check_lease(self, worker: Worker, function: str, now_ms: float, *, may_check: bool) -> LeaseStatus:
-        """Return whether a worker may get new work now; send a health check if no lease is valid for long.
+        """Return whether a worker may get new work now. Send a health check if its leases end soon.
 
         Args:
             worker: A worker that is ready according to the list.
@@ -151,11 +151,11 @@
         return LeaseStatus.PENDING if is_check_pending else LeaseStatus.MISSING
 
     def has_valid_lease(self, worker: Worker, now_ms: float) -> bool:
-        """Whether the lease on the list or that of the worker is valid."""
+        """Return whether the lease on the list or that of the worker is valid."""
         return self.is_list_current(now_ms) or now_ms < self._expires_ms(worker)
 
     def latest_connection_ms(self, worker_id: int, now_ms: float) -> float:
-        """The latest time of establishment of a connection that may carry new work to a worker now.
+        """Return the time by which a connection must have been established to carry new work to a worker now.
 
         Later connections may lead to another process than the one that answered the health check.
 
@@ -172,9 +172,9 @@
         return worker.lease.ready_as_of_ms
 
     def is_within_grace(self, worker_id: int, at_ms: float) -> bool:
-        """Whether new work that was sent at a given time obeyed the operator's grace, as far as is known.
+        """Return whether new work that was sent at `at_ms` kept the operator's grace, as far as is known.
 
-        This is the rule itself, without the safety margins that the decisions add to it.
+        This is the rule itself, without the safety margins that the decision module adds to it.
         """
         worker = self._workers.by_id.get(worker_id)
         expires_ms = self.list_expires_ms
@@ -241,7 +241,7 @@
         self._workers.set_drain_reported(worker, None)
 
     def _may_have_restarted(self, worker: Worker, event: HealthChecked) -> bool:
-        """Whether a worker has answered on a connection that may lead to a new process.
+        """Return whether a worker has answered on a connection that may lead to a new process.
 
         A connection that is no newer than the last evidence of the current process leads to that process. A
         newer one may lead to a new process if the worker has drained, become unresponsive or lost a
--- a/function_router/decisions/events.py
+++ b/function_router/decisions/events.py
@@ -30,7 +30,7 @@
 class EndpointListConfirmed(Struct, frozen=True):
     """The endpoint log has announced that this router has received all of its events."""
 
-    as_of_ms: float  # the log sent the announcement at this time or later
+    as_of_ms: float  # the announcement arrived at this time or later
 
 
 class EndpointListInterrupted(Struct, frozen=True):
@@ -54,7 +54,7 @@
 
 
 class RequestCancelled(Struct, frozen=True):
-    """The client of a request no longer waits, so the router must not answer the request."""
+    """The client of a request no longer waits, so the router owes it no answer."""
 
     request_id: str
     client_id: str = ""
@@ -90,11 +90,10 @@
     worker_id: int
     outcome: Outcome  # OK if the worker answered
     readiness: Readiness
-    sent_at_ms: float  # the worker received the health check at this time or later
+    sent_at_ms: float  # when the check was sent; the worker received it at this time or later
     connected_at_ms: float  # the connection that carried the check was established at this time or earlier
-    connection_lost_at_ms: float | None = (
-        None  # when a connection to the worker last ended without being closed by this router
-    )
+    # When a connection to the worker last ended without being closed by this router; None if none has.
+    connection_lost_at_ms: float | None = None
 
 
 class TimerFired(Struct, frozen=True):
--- a/function_router/decisions/functions.py
+++ b/function_router/decisions/functions.py
@@ -21,7 +21,7 @@
         self.by_name: dict[str, Function] = {}
 
     def is_full(self) -> bool:
-        """Whether other functions must be evicted before one is added."""
+        """Return whether other functions must be evicted before one is added."""
         return len(self.by_name) >= MAX_FUNCTIONS
 
     def get_or_add(self, event: RequestArrived) -> Function:
@@ -61,7 +61,7 @@
 
 
 def _has_pending_work(function: Function) -> bool:
-    """Whether an attempt, a probe or a start order is pending at any worker."""
+    """Return whether an attempt, a probe or a start order is pending at any worker."""
     return any(
         pool.in_flight or pool.pending_probes or pool.start_ordered_ms is not None
         for pool in function.pools.values()
--- a/function_router/decisions/health.py
+++ b/function_router/decisions/health.py
@@ -31,7 +31,7 @@
 # A worker becomes unresponsive if it doesn't answer a ping within this time.
 PING_TIMEOUT_MS = 80.0
 
-# Interval of pings to an unresponsive worker. It is also the minimum time to a ping of a worker that has
+# Interval of pings to an unresponsive worker. It is also the minimum time until a ping of a worker that has
 # answered a probe, a start order or a health check while other replies are pending.
 PING_INTERVAL_MS = 1_000.0
 
@@ -63,7 +63,7 @@
         self.breakers = CircuitBreakers(workers)
 
     def is_usable(self, worker: Worker, class_name: str, now_ms: float) -> bool:
-        """Whether a worker may get new requests of a class.
+        """Return whether a worker may get new requests of a class.
 
         If most workers are unresponsive, all of them count as responsive, as in Envoy's panic mode.
         """
@@ -77,13 +77,13 @@
         return self._unresponsive_count * 2 > len(self._workers.ready)
 
     def is_silent(self, worker: Worker, runs: float, now_ms: float) -> bool:
-        """Whether a worker has sent nothing for this many median run times while a reply was pending."""
+        """Return whether a worker has sent nothing for `runs` median run times while a reply was pending."""
         limit_ms = max(MIN_SILENCE_MS, runs * self._durations.median_run_of_all_ms(now_ms))
         since_ms = worker.awaiting_reply_since_ms
         return since_ms is not None and now_ms - since_ms >= limit_ms
 
     def is_preferable(self, worker: Worker, now_ms: float) -> bool:
-        """Whether a worker is neither slow nor silent."""
+        """Return whether a worker is neither slow nor silent."""
         return worker.slow_until_ms <= now_ms and not self.is_silent(worker, OVERDUE_AFTER_RUNS, now_ms)
 
     def recount_unresponsive(self) -> None:
@@ -156,7 +156,7 @@
                 self._ping(worker, now_ms)
 
     def mark_unresponsive(self, worker: Worker, now_ms: float) -> bool:
-        """Mark a worker as unresponsive until it replies; returns False if it already was unresponsive."""
+        """Mark a worker as unresponsive until it replies, and return whether it was responsive before."""
         if worker.unresponsive_since_ms is not None:
             return False
         worker.unresponsive_since_ms = now_ms
--- a/function_router/decisions/instances.py
+++ b/function_router/decisions/instances.py
@@ -41,7 +41,7 @@
         self._capacity = capacity
 
     def count(self, pool: InstancePool, worker: Worker, now_ms: float) -> int:
-        """The number of instances presumed to exist: 0 after a restart of the worker or a long idle time.
+        """Return the presumed number of instances: 0 after a restart of the worker or a long idle time.
 
         With many routers, the idle time is longer, as requests of other routers keep the instances alive.
         """
@@ -54,7 +54,7 @@
         return pool.count
 
     def slot_state(self, request: Request, worker: Worker, now_ms: float) -> SlotState:
-        """Whether a worker with a pool of the request's function has a free slot for it."""
+        """Return whether a worker with a pool of the request's function has a free slot for it."""
         pool = request.function.pools[worker.id]
         slots = request.concurrency
         if now_ms < pool.blocked_until_ms or self.count(pool, worker, now_ms) * slots <= pool.in_flight:
--- a/function_router/decisions/placement.py
+++ b/function_router/decisions/placement.py
@@ -65,7 +65,7 @@
         self.sends = DecayingCounter(STATISTICS_WINDOW_MS)  # sends of this router to all workers
 
     def hash_order(self, function: Function) -> list[Worker]:
-        """All ready workers in rendezvous order, which is the same at every router."""
+        """Return all ready workers in rendezvous order, which is the same at every router."""
         sizes = self._workers.ready_sizes
         if function.hash_order_sizes is not sizes:
             rank = {
@@ -78,17 +78,18 @@
         return function.hash_order
 
     def workers_with_pool(self, function: Function) -> list[Worker]:
-        """The ready workers at which the function has a pool, in hash order."""
+        """Return the ready workers at which the function has a pool, in hash order."""
         order = self.hash_order(function)
         if function.workers_with_pool is None:
             function.workers_with_pool = [worker for worker in order if worker.id in function.pools]
         return function.workers_with_pool
 
     def preferred_workers(self, function: Function, request: Request, now_ms: float) -> list[Worker]:
-        """The first workers with headroom in hash order, or just the first workers if none has headroom.
+        """Return the first workers with headroom in hash order, or the first workers if none has headroom.
 
-        For a warm function, the list is rotated by the request's random bits. For a cold function, all
-        requests begin with the first worker, so that all routers start the function at the same worker.
+        For a warm function, the list begins with one of them that the request's random bits select. For a
+        cold function, all requests begin with the first worker, so that all routers start the function at the
+        same worker.
         """
         order = self.hash_order(function)
         with_headroom = (worker for worker in order if self.has_headroom(worker, now_ms))
@@ -99,7 +100,7 @@
         return preferred[first:] + preferred[:first]
 
     def candidates(self, function: Function, request: Request, now_ms: float) -> list[Worker]:
-        """The workers that may have an instance, in the order in which they are tried for a request."""
+        """Return the workers that may have an instance, in the order in which a request tries them."""
         with_pool = self.workers_with_pool(function)
         if not self._capacity.many_routers:
             return with_pool
@@ -109,7 +110,7 @@
         return list(dict.fromkeys(preferred_with_pool + by_headroom))
 
     def has_headroom(self, worker: Worker, now_ms: float, factor: float = SEND_SHARE_FACTOR) -> bool:
-        """Whether a worker is neither above a multiple of its fair share of sends, nor slow, nor silent."""
+        """Return whether a worker is neither slow nor silent nor above `factor` times its share of sends."""
         capacity = self._capacity
         fair_share = self.sends.value(now_ms) * capacity.size(worker, now_ms) / capacity.total_size
         if worker.sends.value(now_ms) > max(MIN_SEND_SHARE, factor * fair_share):
@@ -117,11 +118,11 @@
         return self._health.is_preferable(worker, now_ms)
 
     def is_warm(self, function: Function, now_ms: float) -> bool:
-        """Whether any usable worker is presumed to have an instance."""
+        """Return whether any usable worker is presumed to have an instance."""
         return any(self._is_warm_at(function, worker, now_ms) for worker in self.workers_with_pool(function))
 
     def is_warm_with_headroom(self, function: Function, now_ms: float) -> bool:
-        """Whether any usable worker that is presumed to have an instance has headroom by the probe factor."""
+        """Return whether any usable warm worker has headroom by `PROBE_SEND_SHARE_FACTOR`."""
         return any(
             self._is_warm_at(function, worker, now_ms)
             and self.has_headroom(worker, now_ms, PROBE_SEND_SHARE_FACTOR)
@@ -129,19 +130,19 @@
         )
 
     def _is_warm_at(self, function: Function, worker: Worker, now_ms: float) -> bool:
-        """Whether a worker is usable and presumed to have an instance."""
+        """Return whether a worker is usable and presumed to have an instance."""
         if not self._health.is_usable(worker, function.class_name, now_ms):
             return False
         return self._instances.count(function.pools[worker.id], worker, now_ms) > 0
 
     def has_capacity(self, worker: Worker, now_ms: float, *, fraction: float = 1.0) -> bool:
-        """Whether a worker is below a fraction of its in-flight limit, and within its slow-start budget."""
+        """Return whether a worker is below a fraction of its in-flight limit and within its send budget."""
         if worker.in_flight >= worker.max_in_flight * fraction:
             return False
         return self._slow_start.admits(worker, now_ms)
 
     def is_below_load_bound(self, worker: Worker, own_attempts: int, now_ms: float) -> bool:
-        """Whether a worker has fewer attempts of this router in flight than its load bound.
+        """Return whether a worker has fewer attempts of this router in flight than its load bound.
 
         `own_attempts` is the number of this router's attempts in flight at all workers.
         """
@@ -164,9 +165,8 @@
         max_by_slots = FANOUT_INSTANCES_PER_WORKER * function.concurrency
         max_by_capacity = FANOUT_CAPACITY_FRACTION * self._capacity.worker_capacity
         max_by_worker = min(max_by_slots, max_by_capacity)
-        needed = (
-            max(1, math.ceil(demand / max_by_worker)) if max_by_worker > 0 else 1
-        )  # 0: no worker is ready
+        # The maximum is 0 if no worker is ready.
+        needed = max(1, math.ceil(demand / max_by_worker)) if max_by_worker > 0 else 1
         function.fanout = min(needed, max(1, len(self._workers.ready)))
         function.arrivals.add(now_ms)
 
--- a/function_router/decisions/records.py
+++ b/function_router/decisions/records.py
@@ -41,7 +41,7 @@
 
     ready_as_of_ms: float = -math.inf  # send time of the last health check that was answered with ready
     process_seen_ms: float = -math.inf  # latest time at which its current process is known to have run
-    drain_reported_ms: float | None = None  # when it last reported a drain; None if it was ready since then
+    drain_reported_ms: float | None = None  # when the worker last reported a drain; None if ready since
     pending_check_ms: float | None = None  # when the pending health check was decided; None if there is none
     next_check_ms: float = -math.inf  # earliest time of the next health check
     recheck_interval_ms: float = 1_000.0  # time to the next check if the worker is draining or doesn't answer
@@ -65,12 +65,10 @@
     lease: ReadinessLease = field(default_factory=ReadinessLease)
 
     # Slow start.
-    started_ms: float | None = (
-        None  # as announced by the list, or inferred when it returned without instances
-    )
-    assumed_started_ms: float | None = (
-        None  # set if the worker may have restarted while the endpoint list was out of date
-    )
+    # Start of its process: announced by the endpoint list, or inferred when it returned without instances.
+    started_ms: float | None = None
+    # Set if the worker may have restarted while the endpoint list was out of date.
+    assumed_started_ms: float | None = None
     recent_sends: SlidingWindow = field(default_factory=SlidingWindow)  # sends within the overload window
     slow_start_sends: SlidingWindow = field(default_factory=SlidingWindow)  # recent sends since its start
 
@@ -125,7 +123,7 @@
     slots_before_start: int = 0  # number of slots before the speculative instance was added
 
     def is_start_report(self, event: InstancesReported) -> bool:
-        """Whether a report answers the pending start order and not a probe.
+        """Return whether a report answers the pending start order and not a probe.
 
         If a probe is pending, a report of fewer instances than were ordered counts as its answer.
         """
@@ -164,11 +162,11 @@
     withheld_from: list[int] = []  # ids of workers to which it was not sent for want of a valid lease
 
     def has_attempt_in_flight(self) -> bool:
-        """Whether any attempt has not ended yet."""
+        """Return whether any attempt has not ended yet."""
         return any(attempt.in_flight for attempt in self.attempts)
 
     def first_possible_run(self) -> Attempt | None:
-        """The first attempt that may have run; None if there is none."""
+        """Return the first attempt that may have run; None if there is none."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
--- a/function_router/decisions/retries.py
+++ b/function_router/decisions/retries.py
@@ -97,7 +97,7 @@
                 self._dispatcher.send_at_once(request, now_ms)
 
     def _takes_too_long(self, attempt: Attempt, now_ms: float) -> bool:
-        """Whether an attempt takes much longer than a run. The limit is lower if the breaker is tripped."""
+        """Return whether an attempt takes much longer than a run. A tripped breaker lowers the limit."""
         has_failures = self._breakers.is_tripped(attempt.worker, attempt.class_name)
         runs = OVERDUE_AFTER_RUNS if has_failures else LOST_AFTER_RUNS
         run_ms = max(
--- a/function_router/decisions/retry_policy.py
+++ b/function_router/decisions/retry_policy.py
@@ -5,8 +5,8 @@
 from function_router.decisions.settings import Settings
 from function_router.decisions.types import DeduplicationScope, RetrySafety
 
-# Time between the last retry and the end of the idempotency window, as a retry must not only be sent but also
-# arrive within the window.
+# Minimum time between a retry and the end of the idempotency window, because a retry must not only be sent
+# but also arrive within the window.
 IDEMPOTENCY_MARGIN_MS = 100.0
 
 
@@ -18,7 +18,7 @@
         self._can_hedge = settings.can_hedge
 
     def allows_attempt(self, request: Request, now_ms: float) -> bool:
-        """Whether another attempt is allowed at any worker. It is a hedge if an attempt is in flight."""
+        """Return whether another attempt is allowed. It is a hedge if an attempt is in flight."""
         if len(request.attempts) >= self._max_attempts:
             return False
         if not self._can_hedge and request.has_attempt_in_flight():
@@ -33,7 +33,7 @@
         return request_class.retry_safety is RetrySafety.IDEMPOTENT
 
     def allows_worker(self, request: Request, worker: Worker, now_ms: float) -> bool:
-        """Whether another attempt may go to a worker.
+        """Return whether another attempt may go to a worker.
 
         A worker that may have run the request never gets it again. With an idempotency key, retries go only
         to workers in the same deduplication scope as the first worker that may have run it.
@@ -51,7 +51,7 @@
         return is_in_scope and self.allows_attempt(request, now_ms)
 
     def is_client_retry_safe(self, request: Request) -> bool:
-        """Whether the client may safely send the request again, whichever worker receives it."""
+        """Return whether the client may safely send the request again, whichever worker receives it."""
         request_class = request.request_class
         if request.first_possible_run() is None or request_class.retry_safety is RetrySafety.IDEMPOTENT:
             return True
@@ -60,7 +60,7 @@
 
 
 def _is_in_scope(scope: DeduplicationScope, first: Endpoint, second: Endpoint) -> bool:
-    """Whether the second worker deduplicates a request that the first one may have run."""
+    """Return whether the second worker deduplicates a request that the first one may have run."""
     if scope is DeduplicationScope.ZONE:
         return first.zone == second.zone
     if scope is DeduplicationScope.CELL:
--- a/function_router/decisions/router.py
+++ b/function_router/decisions/router.py
@@ -113,11 +113,11 @@
         return self.start_order_limits.revalidate(counted_ms, now_ms)
 
     def is_endpoint_list_current(self, now_ms: float) -> bool:
-        """Whether the lease on the endpoint list is valid."""
+        """Return whether the lease on the endpoint list is valid."""
         return self.fleet.leases.is_list_current(now_ms)
 
     def latest_connection_ms(self, worker_id: int, now_ms: float) -> float:
-        """The latest time of establishment of a connection that may carry new work to a worker now.
+        """Return the time by which a connection must have been established to carry new work to a worker now.
 
         Returns:
             The time; infinity if every connection may carry new work, minus infinity if none may.
@@ -125,7 +125,7 @@
         return self.fleet.leases.latest_connection_ms(worker_id, now_ms)
 
     def is_within_drain_grace(self, worker_id: int, at_ms: float) -> bool:
-        """Whether new work that was sent at a given time obeyed the drain grace, for run-time checks."""
+        """Return whether new work that was sent at `at_ms` kept the drain grace, for run-time checks."""
         return self.fleet.leases.is_within_grace(worker_id, at_ms)
 
     def _on_endpoints_changed(self, event: events.EndpointsChanged, now_ms: float) -> None:
--- a/function_router/decisions/scaling.py
+++ b/function_router/decisions/scaling.py
@@ -126,7 +126,7 @@
             self._start_orders.order_if_lease_valid(function, worker, now_ms, is_speculative=is_warm)
 
     def has_free_slot_or_probe(self, request: Request, worker: Worker, now_ms: float) -> bool:
-        """Whether a worker has a free slot for a request. If this is uncertain, the worker is probed."""
+        """Return whether a worker has a free slot for a request. Probe the worker if this is uncertain."""
         state = self._instances.slot_state(request, worker, now_ms)
         if state is not SlotState.UNVERIFIED:
             return state is SlotState.FREE
@@ -137,11 +137,11 @@
         return False
 
     def must_wait_for_probe(self, function: Function, now_ms: float) -> bool:
-        """Whether requests must wait for a pending probe of the function. Applies only with many routers."""
+        """Return whether requests must wait for a pending probe. They do so only with many routers."""
         return self._capacity.many_routers and self._has_recent_probe(function, now_ms)
 
     def _has_recent_probe(self, function: Function, now_ms: float) -> bool:
-        """Whether a probe of a function is pending, for no longer than about one round trip."""
+        """Return whether a probe of a function is pending, for no longer than about one round trip."""
         if now_ms - function.last_probed_ms >= PROBE_WAIT_MS:
             return False
         return any(pool.pending_probes for pool in function.pools.values())
@@ -149,9 +149,9 @@
     def record_probe_answer(
         self, function: Function, worker: Worker, event: InstancesReported, now_ms: float
     ) -> None:
-        """Record the end of a probe. With many routers, the first workers in hash order start an instance.
+        """Record the end of a probe.
 
-        They do so only if they have none.
+        With many routers, a worker without an instance starts one if it is among the first in hash order.
         """
         pool = function.pool_at(worker)
         pool.pending_probes = max(0, pool.pending_probes - 1)
--- a/function_router/decisions/settings.py
+++ b/function_router/decisions/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a router's decisions, which are fixed when it starts. This module contains no decision logic.
+"""Settings of the decision module, fixed when the router starts. This file contains no decision logic.
 
 Some settings are read from the configuration although no decision uses them: `priority_weight`,
 `late_value_share`, `zone` and `starts_on_request`. Only the network code uses `RequestClass.timeout_ms`.
--- a/function_router/decisions/slow_start.py
+++ b/function_router/decisions/slow_start.py
@@ -31,7 +31,7 @@
         self._own_quota_per_ms = settings.quota_per_ms / self._router_count
 
     def capacity_share(self, worker: Worker, now_ms: float) -> float:
-        """The fraction of its capacity that a worker has now, which grows linearly up to 1."""
+        """Return the fraction of its capacity that a worker has now, which grows linearly up to 1."""
         started_ms = worker.latest_start_ms
         if started_ms is None:
             return 1.0
@@ -40,7 +40,7 @@
         return min(1.0, initial + (1 - initial) * progress)
 
     def admits(self, worker: Worker, now_ms: float) -> bool:
-        """Whether one more send to a worker stays within this router's budget for the window."""
+        """Return whether one more send to a worker stays within this router's budget for the window."""
         share = self.capacity_share(worker, now_ms)
         if share >= 1.0:
             return True
@@ -52,7 +52,7 @@
         return len(worker.slow_start_sends) + 1 <= budget + self._rounding_offset(worker)
 
     def _usual_rate(self, worker: Worker, now_ms: float) -> float:
-        """The worker's share of this router's requests per millisecond, from which its budget is derived.
+        """Return the worker's share of this router's requests per millisecond, the basis of its budget.
 
         Neither a burst nor the removal of other workers raises this rate.
         """
@@ -61,7 +61,7 @@
         return rate * worker.machine_size / self._workers.max_total_size
 
     def _rounding_offset(self, worker: Worker) -> float:
-        """A pseudorandom number from 0 to 1 that rounds the budget, constant for this router and worker.
+        """Return a pseudorandom number from 0 to 1 to round the budget, constant for this router and worker.
 
         If the budget of each router is a fraction of a request, that fraction of the routers may send one.
         """
--- a/function_router/decisions/speculation.py
+++ b/function_router/decisions/speculation.py
@@ -19,7 +19,7 @@
         self._durations = durations
 
     def update(self, function: Function, now_ms: float) -> bool:
-        """Toggle speculation if its condition is met; returns whether it is enabled now."""
+        """Toggle speculation if its condition is met, and return whether it is enabled now."""
         if function.speculates:
             idle_ms = self._idle_before_use_ms(function, now_ms)
             should_toggle = idle_ms > self._durations.median_run_ms(function, now_ms)
@@ -31,7 +31,7 @@
         return function.speculates
 
     def _idle_before_use_ms(self, function: Function, now_ms: float) -> float:
-        """Ti, or the idle time so far of a speculative instance that is still unused, if that is longer."""
+        """Return Ti, or the idle time so far of a still unused speculative instance, if that is longer."""
         idle_ms = function.idle_before_use_ms
         for pool in function.pools.values():
             if pool.unused_since_ms is not None:
@@ -39,7 +39,7 @@
         return idle_ms
 
     def _queue_wait_ms(self, function: Function, now_ms: float) -> float:
-        """Td, or the wait so far of the request that was queued first, if that is longer."""
+        """Return Td, or the wait so far of the request that was queued first, if that is longer."""
         oldest_ms = min((request.queued_ms for request in function.queue), default=now_ms)
         return max(now_ms - oldest_ms, function.queue_waits.median(now_ms) or 0.0)
 
--- a/function_router/decisions/start_order_limits.py
+++ b/function_router/decisions/start_order_limits.py
@@ -28,15 +28,15 @@
             maximum=MAX_PENDING_ORDERS,
             decrease=PENDING_ORDERS_DECREASE,
         )
-        self.sent = SlidingWindow()  # times at which start orders count: of the decision, or of a late send
+        self.sent = SlidingWindow()  # when start orders count: at the decision, or at a late send
 
     def allows_order(self, now_ms: float) -> bool:
-        """Whether one more start order may be sent now."""
+        """Return whether one more start order may be sent now."""
         has_room = self._pending < self.pending_limit.value
         return has_room and self._settings.can_order_starts and not self._is_rate_limited(now_ms)
 
     def _is_rate_limited(self, now_ms: float) -> bool:
-        """Whether one more start order, sent now, would exceed the rate limit."""
+        """Return whether one more start order, sent now, would exceed the rate limit."""
         settings = self._settings
         window_ms = settings.start_order_window_ms
         # An order counts from its decision, but may be sent up to the maximum delay later, so it is kept for
--- a/function_router/decisions/start_orders.py
+++ b/function_router/decisions/start_orders.py
@@ -41,7 +41,7 @@
     def can_start_at(
         self, function: Function, worker: Worker, now_ms: float, *, is_speculative: bool
     ) -> bool:
-        """Whether an instance may be started at a worker now.
+        """Return whether an instance may be started at a worker now.
 
         A speculative start also needs free capacity there.
         """
@@ -82,14 +82,14 @@
         return next(preferable, None) or next(eligible, None)
 
     def _can_host_first_instance(self, function: Function, worker: Worker, now_ms: float) -> bool:
-        """Whether a worker has no instance yet and is below its load bound."""
+        """Return whether a worker has no instance yet and is below its load bound."""
         pool = function.pools.get(worker.id)
         if pool is not None and self._instances.count(pool, worker, now_ms):
             return False
         return self._placement.is_below_load_bound(worker, len(self._requests.attempts), now_ms)
 
     def _may_get_lease(self, function: Function, worker: Worker, now_ms: float) -> bool:
-        """Whether a lease is valid for a worker, or its health check is pending."""
+        """Return whether a lease is valid for a worker, or its health check is pending."""
         return (
             self._leases.check_lease(worker, function.name, now_ms, may_check=True) is not LeaseStatus.MISSING
         )
@@ -97,7 +97,7 @@
     def order_if_lease_valid(
         self, function: Function, worker: Worker, now_ms: float, *, is_speculative: bool
     ) -> bool:
-        """Order one more instance at a worker if its lease is valid; returns whether one was ordered."""
+        """Order one more instance at a worker if its lease is valid, and return whether one was ordered."""
         status = self._leases.check_lease(worker, function.name, now_ms, may_check=True)
         if status is LeaseStatus.VALID:
             self.order(function, worker, now_ms, is_speculative=is_speculative)
--- a/function_router/decisions/types.py
+++ b/function_router/decisions/types.py
@@ -36,7 +36,10 @@
 
 
 class Outcome(Enum):
-    """Result of an attempt, start order or probe. The values are those of the simulator protocol."""
+    """Result of an attempt, start order, probe or health check.
+
+    The values are those of the simulator protocol.
+    """
 
     OK = "GOOD"
     ERROR = "BAD"
--- a/function_router/decisions/workers.py
+++ b/function_router/decisions/workers.py
@@ -36,7 +36,7 @@
         self._recompute_ready()
 
     def set_drain_reported(self, worker: Worker, reported_ms: float | None) -> None:
-        """Set when a worker reported its drain; None if it does not drain. A draining worker is not ready."""
+        """Record when a worker reported its drain; None ends the drain. A draining worker is not ready."""
         was_ready = worker.is_ready
         worker.lease.drain_reported_ms = reported_ms
         if worker.is_ready is not was_ready:
--- a/function_router/hashing.py
+++ b/function_router/hashing.py
@@ -12,17 +12,17 @@
 
 
 def hash_name(name: str, size: int) -> int:
-    """A hash of a name with `size` bytes (BLAKE2b), which is the same in every process."""
+    """Return a hash of a name with `size` bytes (BLAKE2b), which is the same in every process."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=size).digest(), "big")
 
 
 def hash64(name: str) -> int:
-    """A 64-bit hash of a name, which is the same in every process."""
+    """Return a 64-bit hash of a name, which is the same in every process."""
     return hash_name(name, size=8)
 
 
 def rendezvous_rank(key: int, node: int, weight: float) -> float:
-    """The rank of a node for a key. Both are 64-bit hashes. The node with the lowest rank comes first.
+    """Return the rank of a node for a key. Both are 64-bit hashes. The node with the lowest rank comes first.
 
     By weighted rendezvous hashing, a node comes first for a share of the keys that is proportional to its
     weight (Schindelhauer, Schomaker 2005).
--- a/function_router/limits.py
+++ b/function_router/limits.py
@@ -17,7 +17,7 @@
         self._updated_at_ms = now_ms
 
     def try_take(self, now_ms: float, rate_per_s: float, capacity: float) -> bool:
-        """Take one token; returns False if less than one token is left."""
+        """Take one token and return True; return False if less than one token is left."""
         refilled = self._tokens + rate_per_s * (now_ms - self._updated_at_ms) / 1000
         self._tokens = min(capacity, refilled)
         self._updated_at_ms = now_ms
@@ -81,11 +81,11 @@
         return self._failures < 1
 
     def has_open_time_left(self, now_ms: float) -> bool:
-        """Whether the last open time is not over yet, even if successes have closed the breaker."""
+        """Return whether the last open time is not over yet, even if successes have closed the breaker."""
         return self._open_until_ms > now_ms
 
     def is_open(self, now_ms: float) -> bool:
-        """Whether requests must not pass now."""
+        """Return whether requests must not pass now."""
         return self.is_tripped and now_ms < self._open_until_ms
 
     def record_failure(self, now_ms: float) -> None:
--- a/function_router/statistics.py
+++ b/function_router/statistics.py
@@ -22,7 +22,7 @@
         self._calculated_at_ms = -math.inf
 
     def __bool__(self) -> bool:
-        """Whether there is any sample, even one that the next call of `median` will drop as too old."""
+        """Return whether there is any sample, even one that the next `median` will drop as too old."""
         return bool(self._samples)
 
     def add(self, now_ms: float, value: float) -> None:
@@ -35,7 +35,7 @@
         self._calculated_at_ms = -math.inf
 
     def median(self, now_ms: float) -> float | None:
-        """The median, computed at most `refresh_ms` ago; None without samples."""
+        """Return the median, computed at most `refresh_ms` ago; None without samples."""
         if now_ms - self._calculated_at_ms >= self._refresh_ms:
             while self._samples and self._samples[0][0] < now_ms - self._window_ms:
                 self._samples.popleft()
@@ -62,7 +62,7 @@
         self._updated_at_ms = now_ms
 
     def value(self, now_ms: float) -> float:
-        """The count at this time."""
+        """Return the count at this time."""
         return self._count * math.exp((self._updated_at_ms - now_ms) / self._window_ms)
 
     def add(self, now_ms: float) -> None:
@@ -129,11 +129,11 @@
         return self._last_ms[-1] if self._last_ms else -math.inf
 
     def decay(self, now_ms: float) -> float:
-        """The factor by which the count has decayed since the last arrival."""
+        """Return the factor by which the count has decayed since the last arrival."""
         return math.exp((self._last_ms[-1] - now_ms) / self._decay_ms) if self._last_ms else 1.0
 
     def rate(self, now_ms: float, since_ms: float, min_interval_ms: float) -> float:
-        """Arrivals per millisecond since `since_ms`, averaged over at least `min_interval_ms`."""
+        """Return the arrivals per millisecond since `since_ms`, averaged over at least `min_interval_ms`."""
         interval_ms = min(self._decay_ms, now_ms - since_ms + min_interval_ms)
         rate = self._count * self.decay(now_ms) / interval_ms
         if len(self._last_ms) == self._last_ms.maxlen:
--- a/tests/decisions/conftest.py
+++ b/tests/decisions/conftest.py
@@ -6,13 +6,13 @@
 
 @pytest.fixture
 def harness():
-    """A router whose endpoint list is current."""
+    """Return a router whose endpoint list is current."""
     return LeaseHarness()
 
 
 @pytest.fixture
 def checking(harness):
-    """The router after its list has expired, while the health check of its warm worker is pending."""
+    """Return a router whose list has expired, and which has a health check of its warm worker pending."""
     harness.let_list_expire()
     harness.request("r1")
     return harness
--- a/tests/decisions/test_arrivals.py
+++ b/tests/decisions/test_arrivals.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def arrivals():
-    """Arrivals of a router without a rate limit on start orders, whose first event came at 0 ms."""
+    """Return the arrivals of a router without a rate limit on start orders, whose first event is at 0 ms."""
     arrivals = Arrivals(Settings())
     arrivals.observed_since_ms = 0.0
     return arrivals
--- a/tests/decisions/test_event_cost.py
+++ b/tests/decisions/test_event_cost.py
@@ -14,7 +14,10 @@
 
 
 def count_calls_while_serving(workers):
-    """Count the function calls of a router that serves requests and timers, after it knows its workers."""
+    """Count the function calls of a router that serves requests and timers, after a first request.
+
+    The first request computes the order of all workers, which is cached.
+    """
     harness = DecisionHarness(
         workers=workers,
         tenant=MANY_ROUTERS_TENANT,
--- a/tests/decisions/test_layers.py
+++ b/tests/decisions/test_layers.py
@@ -1,4 +1,4 @@
-"""Tests that the decisions keep to the layers of the table in the package's docstring."""
+"""Tests that the decision module keeps to the table of layers in the docstring of its package."""
 
 import re
 
@@ -17,7 +17,7 @@
 
 
 def imported_components(name):
-    """The modules of the decisions package that one of its modules imports, at top level or elsewhere."""
+    """Return the decision modules that one of them imports, at top level or elsewhere."""
     modules = imported_modules(FOLDER / f"{name}.py")
     return {module.removeprefix(PREFIX + ".") for module in modules if module.startswith(PREFIX)}
 
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -47,7 +47,7 @@
 
 
 def functions_with_the_same_first_worker(router):
-    """Names of functions with the same first worker in hash order, and that worker."""
+    """Return the names of functions with the same first worker in hash order, and that worker."""
     hash_order = router.fleet.placement.hash_order
     names = (f"f{number}" for number in range(400))
     functions = [Function(name, "idempotent", 2, None, hash64(name)) for name in names]
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -118,7 +118,7 @@
 
 
 def sends_of_overdue_request(harness, class_name, timeout_ms):
-    """All sends of a request whose first worker gives no answer to it but replies to everything else."""
+    """Return all sends of a request whose first worker replies to everything except this request."""
     harness.request("r1", class_name=class_name, timeout_ms=timeout_ms)
     for worker_id in WORKERS:
         harness.report_instances(worker_id, 1)
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -16,7 +16,7 @@
 
 
 def request_after_one_attempt(request_class, *, in_flight=False, may_have_run=True):
-    """A request with one attempt at the first worker, sent at 0 ms."""
+    """Return a request with one attempt at the first worker, sent at 0 ms."""
     function = Function("f", request_class.name, 1, None, hash=5)
     request = Request("r", function, request_class, 0.0, 2500.0, False, 0.0, 0, 1)
     attempt = Attempt("r", FIRST, function, request_class.name, 0.0, True, 1, in_flight=in_flight)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -56,7 +56,7 @@
 
 
 def serving_harness():
-    """A single router that serves requests at half of the quota from warm instances."""
+    """Return a single router that serves requests at half of the quota from warm instances."""
     harness = DecisionHarness(
         workers=WORKERS,
         tenant=TENANT,
@@ -71,7 +71,7 @@
 
 
 def serve(harness, for_ms):
-    """Serve requests at half of the quota; returns the worker of each send."""
+    """Serve requests at half of the quota, and return the worker of each send."""
     sent_to = []
     end_ms = harness.now_ms + for_ms
     while harness.now_ms < end_ms:
@@ -123,13 +123,13 @@
 
 
 def restart(workers, now_ms):
-    """A complete endpoint list with this many workers, which have all just started."""
+    """Return a complete endpoint list with this many workers, which have all just started."""
     endpoints = [Endpoint(worker_id, started_at_ms=now_ms) for worker_id in range(1, workers + 1)]
     return EndpointsChanged(endpoints, is_complete=True)
 
 
 def send_request(harness, request_id, function="f"):
-    """Let a request arrive and complete all starts; returns the sends of the request."""
+    """Let a request arrive and complete all starts; return the sends of the request."""
     return harness.complete_starts(harness.request(request_id, function))
 
 
@@ -145,7 +145,7 @@
 
 
 def max_sends_in_the_window(requests_per_second):
-    """Sends that a worker can take in a window at this rate, with an allowance for sampling noise.
+    """Return how many sends a worker can take in a window at this rate, with an allowance for sampling noise.
 
     The capacity is that at the end of the first window of its slow start.
     """
--- a/tests/decisions/test_start_order_limits.py
+++ b/tests/decisions/test_start_order_limits.py
@@ -67,7 +67,7 @@
 
 
 def limits_with_orders(*sent_ms):
-    """A rate limit of two start orders in any 5 s, with orders that were decided at the given times."""
+    """Return a limit of two start orders in any 5 s, with orders that were decided at the given times."""
     settings = Settings(start_order_window_ms=5000.0, start_order_burst=2.0)
     limits = StartOrderLimits(settings, Arrivals(settings))
     for time_ms in sent_ms:
--- a/tests/test_hashing.py
+++ b/tests/test_hashing.py
@@ -29,7 +29,7 @@
 
 
 def first_node(key, weights):
-    """The node with the lowest rank for a key, from a dict of nodes and their weights."""
+    """Return the node with the lowest rank for a key, from a dict of nodes and their weights."""
     return min(weights, key=lambda node: rendezvous_rank(key, node, weights[node]))
 
 
