--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("is_answered", [True, False])
-def test_connection_reset_brings_a_probe_and_only_without_its_answer_is_the_worker_unresponsive(is_answered):
+def test_worker_is_probed_after_a_connection_reset_and_unresponsive_only_without_an_answer(is_answered):
     harness = DecisionHarness()
     warm_worker = harness.warm_up()
     [send] = actions_of(harness.request("r1"), SendRequest)
@@ -70,7 +70,7 @@
 # --- many routers ----------------------------------------------------------------------------------
 
 
-def test_silent_worker_is_passed_over_before_it_is_probed():
+def test_silent_worker_has_no_headroom_before_it_is_probed():
     harness = one_of_many_routers(40)
     for _ in range(5):
         harness.fleet.durations.run_times.add(0.0, 200.0)
@@ -102,7 +102,7 @@
     assert not actions_of(actions, EnsureInstances)
 
 
-def test_full_worker_is_passed_over_for_a_while():
+def test_full_worker_gets_no_requests_for_a_while():
     harness = one_of_many_routers(100)
     [first_send] = harness.complete_starts(harness.request("first"))
     full_worker = first_send.worker_id
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -56,7 +56,7 @@
     return sharing, first_worker
 
 
-def test_functions_that_share_their_first_worker_move_on_past_its_share_of_the_sends():
+def test_functions_that_share_their_first_worker_use_others_above_its_share_of_the_sends():
     harness = one_of_many_routers(40)
     functions, first_worker = functions_with_the_same_first_worker(harness.router)
     sends_by_worker = Counter()
@@ -114,7 +114,7 @@
         pytest.param(8.0, True, id="far-past-its-share"),
     ],
 )
-def test_worker_past_its_share_is_passed_over_but_others_are_probed_only_far_past_it(
+def test_worker_above_its_share_has_no_headroom_but_others_are_probed_only_far_above_it(
     sends_to_worker, are_others_probed
 ):
     harness = one_of_many_routers(40)
--- a/tests/decisions/test_start_order_limits.py
+++ b/tests/decisions/test_start_order_limits.py
@@ -93,7 +93,7 @@
     assert list(limits.sent) == [100.0 + LATE_MS]
 
 
-def test_order_that_is_sent_late_is_forbidden_if_later_ones_have_used_up_the_limit():
+def test_order_that_is_sent_late_is_not_allowed_if_later_ones_have_used_up_the_limit():
     limits = limits_with_orders(100.0, 5000.0, 5100.0)
 
     counted_ms = limits.revalidate(100.0, now_ms=5200.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,7 +5,7 @@
 from function_router.limits import AdaptiveLimit, CircuitBreaker, TokenBucket
 
 
-def test_token_bucket_gives_what_it_holds_and_refills_at_the_rate():
+def test_token_bucket_gives_its_tokens_and_refills_at_the_rate():
     bucket = TokenBucket(now_ms=0.0, tokens=2.0)
 
     taken_at_once = [bucket.try_take(0.0, rate_per_s=10.0, capacity=5.0) for _ in range(3)]
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -69,7 +69,7 @@
     assert counter.value(2000.0) == pytest.approx(10.0 / math.e**2)
 
 
-def test_counter_adds_to_what_is_left():
+def test_counter_adds_to_the_decayed_count():
     counter = DecayingCounter(window_ms=1000.0)
     counter.add(0.0)
     counter.add(1000.0)
@@ -129,7 +129,7 @@
     assert arrivals.decay(1000.0) == pytest.approx(1 / math.e)
 
 
-def test_arrivals_in_a_burst_are_rated_by_themselves():
+def test_arrivals_in_a_burst_are_rated_separately():
     arrivals = arrivals_at(0.0, 10.0, 20.0)
 
     assert arrivals.rate(20.0, since_ms=-9e9, min_interval_ms=5.0) == 3 / 20
