--- a/function_router/net/attempt_report.py
+++ b/function_router/net/attempt_report.py
@@ -4,7 +4,7 @@
 
 from function_router.decisions.types import Outcome, StartKind
 from function_router.net.close_reason import outcome_of
-from function_router.net.worker_messages import Answer, Attempt, Result
+from function_router.net.worker_messages import Attempt, Result, WorkerAnswer
 
 # A larger number of requests in flight at a worker is reported to the decision module as this one.
 MAX_REPORTED_IN_FLIGHT = 30
@@ -34,7 +34,7 @@
             result: The worker's answer, or the reason why there is none.
             reports_in_flight: Whether workers report in their answers how many requests are in flight.
         """
-        if not isinstance(result, Answer):
+        if not isinstance(result, WorkerAnswer):
             outcome = outcome_of(result, is_started=attempt.is_started)
             cause = f" ({attempt.not_sent_reason.name})" if attempt.not_sent_reason else ""
             return cls(outcome, StartKind.UNKNOWN, None, result.name + cause)
@@ -43,7 +43,7 @@
         return cls(result.outcome, result.start_kind, in_flight, description)
 
 
-def _in_flight(answer: Answer) -> int | None:
+def _in_flight(answer: WorkerAnswer) -> int | None:
     if answer.outcome not in (Outcome.OK, Outcome.QUEUE_FULL):
         return None
     return min(MAX_REPORTED_IN_FLIGHT, answer.in_flight)
--- a/function_router/net/attempts_in_flight.py
+++ b/function_router/net/attempts_in_flight.py
@@ -14,7 +14,7 @@
 from function_router.net.pending_request import PendingRequest
 from function_router.net.pending_requests import PendingRequests
 from function_router.net.send_checks import check_request
-from function_router.net.worker_messages import Answer, Attempt, Result
+from function_router.net.worker_messages import Attempt, Result, WorkerAnswer
 from function_router.net.worker_pool import WorkerPool
 
 
@@ -112,7 +112,7 @@
         )
         if request := self._requests.by_key.get(key):
             _record_ended_attempt(request, attempt, report)
-        if isinstance(result, Answer) and report.outcome is Outcome.OK:
+        if isinstance(result, WorkerAnswer) and report.outcome is Outcome.OK:
             self._on_served(key, Served(result.body))
         self._loop.submit(
             AttemptEnded(
--- a/function_router/net/health_checks.py
+++ b/function_router/net/health_checks.py
@@ -8,7 +8,7 @@
 from function_router.net.close_reason import outcome_of
 from function_router.net.event_loop import EventLoop
 from function_router.net.telemetry import HEALTH_CHECKS, Telemetry
-from function_router.net.worker_messages import Answer, HealthCheck, Result
+from function_router.net.worker_messages import HealthCheck, Result, WorkerAnswer
 from function_router.net.worker_pool import WorkerPool
 
 
@@ -45,7 +45,7 @@
         self._pool.check_health(check)
 
     def _on_done(self, function: str, check: HealthCheck, result: Result) -> None:
-        if isinstance(result, Answer):
+        if isinstance(result, WorkerAnswer):
             outcome = result.outcome
             readiness = result.readiness
         else:
--- a/function_router/net/start_orders.py
+++ b/function_router/net/start_orders.py
@@ -8,7 +8,7 @@
 from function_router.net.close_reason import outcome_of
 from function_router.net.event_loop import EventLoop
 from function_router.net.not_sent_reason import NotSentReason
-from function_router.net.worker_messages import Answer, Result, StartOrder
+from function_router.net.worker_messages import Result, StartOrder, WorkerAnswer
 from function_router.net.worker_pool import WorkerPool
 
 RevalidateStartOrder = Callable[[float, float], float | None]
@@ -86,7 +86,7 @@
         self._pool.ensure_instances(order)
 
     def _on_done(self, order: StartOrder, result: Result) -> None:
-        if isinstance(result, Answer):
+        if isinstance(result, WorkerAnswer):
             outcome = result.outcome
             instances = result.instances
         else:
--- a/function_router/net/worker_messages.py
+++ b/function_router/net/worker_messages.py
@@ -48,7 +48,7 @@
 }
 
 
-class Answer(Struct, frozen=True):
+class WorkerAnswer(Struct, frozen=True):
     """A worker's answer to an exchange.
 
     Attributes:
@@ -68,7 +68,7 @@
     readiness: Readiness = Readiness.UNKNOWN
 
 
-Result = Answer | CloseReason
+Result = WorkerAnswer | CloseReason
 """The result of an exchange: the worker's answer, or the reason why there is no answer."""
 
 
@@ -198,10 +198,10 @@
             telemetry.count(NOT_SENT, not_sent_reason.name)
             self.abort(CloseReason.NOT_SENT)
 
-    def parse_answer(self, frame: frames.Frame) -> Answer:
+    def parse_answer(self, frame: frames.Frame) -> WorkerAnswer:
         """Convert the frame of the worker's answer; an absent or invalid field counts as 0 or unknown."""
         fields = frame.fields
-        return Answer(
+        return WorkerAnswer(
             outcome=self.outcome_of(frame.code),
             body=frame.body,
             start_kind=_START_KINDS.get(fields.get(frames.START_KIND_FIELD, ""), StartKind.UNKNOWN),
--- a/tests/net/test_attempt_report.py
+++ b/tests/net/test_attempt_report.py
@@ -6,7 +6,7 @@
 from function_router.net.attempt_report import MAX_REPORTED_IN_FLIGHT, AttemptReport
 from function_router.net.close_reason import CloseReason
 from function_router.net.not_sent_reason import NotSentReason
-from function_router.net.worker_messages import Answer, Attempt
+from function_router.net.worker_messages import Attempt, WorkerAnswer
 from function_router.net.write_queue import PendingWrite
 
 
@@ -22,7 +22,7 @@
 
 
 def make_answer(outcome, in_flight):
-    return Answer(outcome, body=b"", start_kind=StartKind.WARM, in_flight=in_flight, instances=1)
+    return WorkerAnswer(outcome, body=b"", start_kind=StartKind.WARM, in_flight=in_flight, instances=1)
 
 
 @pytest.mark.parametrize(
