--- a/function_router/net/close_reason.py
+++ b/function_router/net/close_reason.py
@@ -26,10 +26,10 @@
     IDLE = auto()  # this router closed the connection, with nothing pending on it
     ENDPOINT_REPLACED = auto()  # this router closed it as the worker was removed, moved or restarted
     DRAINING = auto()  # the worker accepts no new work
-    NOT_SENT = auto()  # no byte was written, for a reason that does not lie with the connection
+    NOT_SENT = auto()  # no byte was written, for a reason that is unrelated to the connection
     CANCELLED = auto()  # the decision module cancelled the exchange
     DEADLINE_EXCEEDED = auto()  # no answer arrived in time
-    SHUTDOWN = auto()  # this router stops
+    SHUTDOWN = auto()  # this router is stopping
 
 
 class ReportedOutcomes(Struct, frozen=True):
@@ -95,7 +95,7 @@
 )
 
 
-# These reasons lie outside this router: the peer's process or machine may have terminated.
+# Reasons whose cause lies outside this router: the peer's process or machine may have terminated.
 _CONNECTION_LOSSES = frozenset(
     {
         CloseReason.CONNECTION_REFUSED,
--- a/function_router/net/connect_retry.py
+++ b/function_router/net/connect_retry.py
@@ -6,10 +6,10 @@
 from function_router.net.close_reason import CloseReason
 from function_router.net.timer_wheel import Timer, TimerWheel
 
-# Retries are this far apart: file descriptors, ports or memory may be available again by then.
+# Interval between retries. File descriptors, ports or memory may be available again by then.
 RETRY_INTERVAL_MS = 20.0
-# Retries end after this time, and the queued exchanges are reported as not sent: the decision module may then
-# send them to other workers.
+# Maximum duration of retries. The queued exchanges are then reported as not sent, so that the decision module
+# may send them to other workers.
 MAX_RETRY_DURATION_MS = 200.0
 
 _LOCAL_FAILURES = (
@@ -32,7 +32,7 @@
 
     @property
     def is_scheduled(self) -> bool:
-        """Return whether a retry is scheduled; other connects wait for it."""
+        """Whether a retry is scheduled; other connects wait for it."""
         return self._timer is not None
 
     def schedule_after(self, reason: CloseReason, on_retry: Callable[[], None]) -> bool:
--- a/function_router/net/connection_activity.py
+++ b/function_router/net/connection_activity.py
@@ -3,9 +3,9 @@
 from function_router.net.clock import monotonic_ms
 from function_router.net.connection import Connection
 
-# A connection gets no new exchange if answers are outstanding and nothing was received for this long.
+# Silence after which a connection with outstanding answers gets no new exchange.
 UNRESPONSIVE_AFTER_MS = 1_000.0
-# If a connection breaks within this time after it became active, it was stale: the exchange isn't the cause.
+# A connection that breaks within this time after it became active was stale: the exchange isn't the cause.
 STALE_RESET_MS = 20.0
 
 
--- a/function_router/net/connection_budget.py
+++ b/function_router/net/connection_budget.py
@@ -5,8 +5,8 @@
 from function_router.net.close_reason import CloseReason
 from function_router.net.worker_connection import WorkerConnection
 
-# Spare connections are opened only within this share of the budget; the rest is reserved for exchanges for
-# which no connection is available.
+# Share of the budget within which spare connections are opened. The rest is reserved for exchanges for which
+# no connection is available.
 SPARE_CONNECTION_SHARE = 0.7
 
 
@@ -40,8 +40,9 @@
     def ensure_capacity(self) -> bool:
         """Ensure that one more connection may be opened, and return whether that succeeded.
 
-        If the budget is used up, the connection that has been idle for longest is closed. Otherwise, with
-        more workers than connections, the first workers that get exchanges would keep all connections.
+        If the budget is used up, the connection that has been idle for longest is closed. If idle ones stayed
+        open, the workers that get exchanges first would keep all connections, with more workers than
+        connections.
         """
         if self.connection_count < self._max_connections:
             return True
--- a/function_router/net/connection_set.py
+++ b/function_router/net/connection_set.py
@@ -10,10 +10,10 @@
 from function_router.net.worker_connection import ConnectError, WorkerConnection, WorkerConnectionOwner
 from function_router.net.worker_messages import Exchange, HealthCheck
 
-# The maximum number of connections to one worker, not counting retired ones.
+# Maximum number of connections to one worker, not counting retired ones.
 MAX_CONNECTIONS = 6
-# While all connections are in use and fewer than this many exist, a spare one is opened. Exchanges then
-# rarely share a connection: a broken connection ends all exchanges on it.
+# Number of connections below which a spare one is opened while all are in use. Exchanges then rarely share a
+# connection, which matters as a broken connection ends all exchanges on it.
 CONNECTIONS_BEFORE_SHARING = 4
 
 
@@ -49,8 +49,8 @@
         Connections that were established after `latest_connection_ms`, on the monotonic clock, are excluded.
 
         An idle connection that the worker has closed is closed here instead of being used. Bytes written to
-        it would be lost. But as the request might have run, it could not be sent again if it must not run
-        twice.
+        it would be lost, but the router could not know whether the request has run. It could then not retry
+        a request that must not run twice.
         """
         while (chosen := self._best_connection(exchange, latest_connection_ms)) is not None:
             if chosen.exchanges or not chosen.has_reached_end_of_stream():
@@ -120,7 +120,7 @@
                 self._open_unchecked(owner)
 
     def connecting_count(self) -> int:
-        """Return how many connections to the present process of the worker are not established yet."""
+        """Return how many connections to the current process of the worker are not established yet."""
         return sum(not connection.is_connected for connection in self._current_connections())
 
     def _needs_spare_connection(self) -> bool:
@@ -143,7 +143,7 @@
         resources.telemetry.count(WORKER_CONNECTS)
 
     def _current_connections(self) -> list[WorkerConnection]:
-        """Return the connections to the present process of the worker."""
+        """Return the connections to the current process of the worker."""
         return [connection for connection in self._connections if not connection.is_retired]
 
     # --- closing ------------------------------------------------------------------------------
@@ -154,7 +154,7 @@
             connection.retire()
 
     def discard(self, connection: WorkerConnection, reason: CloseReason) -> None:
-        """Remove a closed connection, whose exchanges must not have been taken off yet."""
+        """Remove a closed connection, on which `take_all_exchanges` must not have been called yet."""
         resources = self._resources
         self._connections.remove(connection)
         resources.budget.on_closed()
--- a/function_router/net/endpoint_list_status.py
+++ b/function_router/net/endpoint_list_status.py
@@ -1,4 +1,4 @@
-"""Reports to the decision module on whether the endpoint list is current, and logs changes of that."""
+"""Reports confirmations of the endpoint list to the decision module, and logs whether the list is current."""
 
 from collections.abc import Callable
 
@@ -47,7 +47,7 @@
         self._loop.submit(EndpointListConfirmed(self._confirmed_at_ms))
 
     def on_interrupted(self) -> None:
-        """Report that the router does not follow the log at present."""
+        """Report that the router currently does not follow the log."""
         self._loop.submit(EndpointListInterrupted())
 
     def check(self) -> None:
--- a/function_router/net/endpoint_log_client.py
+++ b/function_router/net/endpoint_log_client.py
@@ -13,24 +13,26 @@
 from function_router.net.event_loop import EventLoop
 from function_router.net.timer_wheel import Timer
 
-# The log sends a heartbeat each second. An event that a silent log delays counts as published after 4 s.
+# Silence after which events are requested again. The log sends a heartbeat each second. An event that a
+# silent log delays counts as published after 4 s.
 SILENCE_TIMEOUT_MS = 2_000.0
-# One line may take this long while its bytes keep arriving: a complete list over a slow or congested network.
+# Maximum duration of one line whose bytes keep arriving, such as a complete list over a slow or congested
+# network.
 MAX_LINE_DURATION_MS = 30_000.0
-# The client waits this long before it reconnects. An event that is published while the connection is broken
-# counts as published after 2 s.
+# Delay of a reconnect. An event that is published while the connection is broken counts as published after
+# 2 s.
 RECONNECT_DELAY_MS = 200.0
-# The log sends heartbeats at this interval, the first one within this time after a request.
+# Interval of the heartbeats of the log. The log sends the first one within this time after a request.
 HEARTBEAT_INTERVAL_MS = 1_000.0
-# The first line may arrive this much later than HEARTBEAT_INTERVAL_MS after a request. A first line that
-# arrives later still shows that all lines of the log are delayed by as much.
+# Maximum time by which the first line after a request may exceed HEARTBEAT_INTERVAL_MS. A first line that
+# arrives later than that shows that all lines of the log are delayed by as much.
 MAX_FIRST_LINE_DELAY_MS = 300.0
-# A log whose lines are delayed is requested again after this time, as the delay may have passed.
+# Time after which a log whose lines are delayed is requested again, as the delay may have passed.
 DELAYED_LOG_RETRY_MS = 5_000.0
-# The delay between requests doubles up to this value while the log answers but sends nothing valid.
+# Maximum delay between requests. The delay doubles up to it while the log answers but sends nothing valid.
 MAX_RECONNECT_DELAY_MS = 1_000.0
 CONNECT_TIMEOUT_MS = 1_000.0
-# The limit has room for a complete list of some ten thousand workers.
+# Maximum length of a line. A complete list of some ten thousand workers fits.
 MAX_LINE_BYTES = 4 * 1024 * 1024
 
 REQUEST_FORMAT = b"since %d\n"
@@ -80,12 +82,12 @@
 
     @property
     def may_repeat_request(self) -> bool:
-        """Return whether the last request is old enough to be repeated if the log has sent nothing new."""
+        """Whether the last request is old enough to be repeated if the log has sent nothing new."""
         return monotonic_ms() - self._last_connect_ms > SILENCE_TIMEOUT_MS
 
     @property
     def is_delayed(self) -> bool:
-        """Return whether the first line took so long that the heartbeats of the log are out of date."""
+        """Whether the first line took so long that the heartbeats of the log are out of date."""
         return self._is_delayed
 
     # --- connecting -----------------------------------------------------------------------------
@@ -134,7 +136,8 @@
     def check_timeouts(self) -> None:
         """Reconnect if the log is silent for too long, or if its lines have been delayed for some time.
 
-        A log whose process was stopped may leave its end of the connection open.
+        A log whose process was stopped may leave its end of the connection open, so that only its silence
+        shows the fault.
         """
         connection = self._connection
         if connection is None or not connection.is_connected:
--- a/function_router/net/endpoint_messages.py
+++ b/function_router/net/endpoint_messages.py
@@ -37,7 +37,7 @@
 
     @property
     def is_snapshot(self) -> bool:
-        """Return whether the event has the complete list, which replaces all earlier events."""
+        """Whether the event has the complete list, which replaces all earlier events."""
         endpoints = self.endpoints
         if not isinstance(endpoints, dict):
             return False
--- a/function_router/net/endpoint_registry.py
+++ b/function_router/net/endpoint_registry.py
@@ -12,11 +12,11 @@
 from function_router.net.start_times import StartTimes
 from function_router.net.worker_pool import WorkerPool
 
-# A worker id of this size is sufficient for the ids in one list to differ.
+# Size of a worker id, which is sufficient for the ids in one list to differ.
 WORKER_ID_BYTES = 4
-# The log limits the rate of its lines per source; log lines about endpoints are a source of their own.
+# Source of the log lines about endpoints. The log limits the rate of its lines per source.
 LOG_SOURCE = "endpoints"
-# Error messages name this key, which has the address in an endpoint record.
+# Key of the address in an endpoint record, for error messages.
 ADDRESS_FIELD = "host_port"
 
 _STATES_BY_PHASE = {
--- a/function_router/net/endpoint_watch.py
+++ b/function_router/net/endpoint_watch.py
@@ -14,7 +14,8 @@
 from function_router.net.event_loop import EventLoop
 from function_router.net.sequence_tracker import InvalidLineResponse, SequenceTracker, SyncState
 
-# Log lines and error messages quote an invalid line or event up to these lengths.
+# Maximum length of an invalid line that a log line quotes, and of an invalid event that an error message
+# quotes.
 MAX_QUOTED_LINE_BYTES = 80
 MAX_QUOTED_EVENT_CHARACTERS = 80
 
@@ -59,7 +60,7 @@
 
     @property
     def last_sequence(self) -> int:
-        """Return the sequence number of the last event that was applied."""
+        """The sequence number of the last event that was applied."""
         return self._tracker.last_sequence
 
     def apply_initial_events(self, events: Iterable[object], last_sequence: int) -> None:
--- a/function_router/net/idle_limit.py
+++ b/function_router/net/idle_limit.py
@@ -1,13 +1,13 @@
 """The limit on the idle time after which a connection is not used again."""
 
-# The highest limit as a share of the workers' keep-alive time: the router closes an idle connection before
-# the worker does, so that nothing is sent on a connection that is being closed.
+# Maximum of the limit, as a share of the workers' keep-alive time. The router closes an idle connection
+# before the worker does, so that nothing is sent on a connection that is being closed.
 KEEPALIVE_SHARE = 0.7
-# The limit never falls below this value; with a lower one, hardly any connection would be reused.
+# Minimum of the limit. With a lower limit, hardly any connection would be reused.
 MIN_LIMIT_MS = 50.0
-# After a stale connection was found, the limit is this share of the connection's idle time.
+# The limit after a stale connection was found, as a share of the connection's idle time.
 STALE_IDLE_SHARE = 0.7
-# The limit is multiplied by this factor at each periodic check, four times a second: it doubles in about 9 s.
+# Factor by which the limit grows at each periodic check, four times a second. The limit doubles in about 9 s.
 GROWTH_FACTOR = 1.02
 
 
@@ -19,7 +19,7 @@
     connection is found.
 
     Attributes:
-        limit_ms: The present limit.
+        limit_ms: The current limit.
     """
 
     __slots__ = ("_max_limit_ms", "limit_ms")
--- a/function_router/net/invariants.py
+++ b/function_router/net/invariants.py
@@ -8,13 +8,15 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-# The log limits the rate of its lines per source; log lines about violations are a source of their own.
+# Source of the log lines about violations. The log limits the rate of its lines per source.
 LOG_SOURCE = "invariants"
 LOG_PREFIX = "invariant violated"
 
-# An answer may leave this long after its deadline, as an iteration of the event loop may stall.
+# Maximum lateness of an answer. An answer may leave after its deadline, as an iteration of the event loop may
+# stall.
 MAX_LATENESS_MS = 400.0
-# An attempt's timeout may exceed its client's remaining time by this much. The operator allows 150 ms.
+# Maximum time by which an attempt's timeout may exceed its client's remaining time. The operator allows
+# 150 ms.
 MAX_TIMEOUT_EXCESS_MS = 100.0
 
 
--- a/function_router/net/send_checks.py
+++ b/function_router/net/send_checks.py
@@ -17,8 +17,8 @@
 from function_router.net.pending_request import PendingRequest
 from function_router.net.worker_messages import Attempt, Exchange
 
-# A repeated attempt has to arrive, not just be sent, within the idempotency window. It may be sent until this
-# long before the end of the window.
+# Time before the end of the idempotency window from which an attempt is not repeated. A repeated attempt has
+# to arrive, not just be sent, within the window.
 IDEMPOTENCY_WINDOW_MARGIN_MS = 50.0
 
 
@@ -99,7 +99,7 @@
         request: The request.
         request_class: The class of the request; None if the configuration has no such class.
         attempts: The attempts of the request that are in flight.
-        now_ms: The present time on the monotonic clock.
+        now_ms: The current time on the monotonic clock.
     """
     if not is_in_idempotency_window(request, request_class, attempts, now_ms):
         return NotSentReason.IDEMPOTENCY_WINDOW_PASSED
--- a/function_router/net/sequence_tracker.py
+++ b/function_router/net/sequence_tracker.py
@@ -10,7 +10,7 @@
     EVENTS_MISSING = auto()  # events are missing, and have to be requested again
     EVENTS_STILL_MISSING = auto()  # events are missing, but the last request is too recent to be repeated
     EVENT_UNREADABLE = auto()  # an unreadable event was skipped, and no snapshot has been applied since
-    LOG_IS_BEHIND = auto()  # the announced number is below that of the last event that the log sent
+    LOG_IS_BEHIND = auto()  # the announced number is below that of the last applied event
     SNAPSHOT_REVOKED = auto()  # a snapshot ahead of a gap had a sequence number beyond the end of the log
 
 
@@ -44,7 +44,7 @@
     def __init__(self, last_sequence: int) -> None:
         self.last_sequence = last_sequence
         self._skipped_through = 0  # events up to this number were requested again without success
-        self._unreadable_sequence: int | None = None  # the number last skipped with an unreadable line
+        self._unreadable_sequence: int | None = None  # the last number skipped as its line was unreadable
         self._invalid_line_position: int | None = None  # position at which an invalid line led to a request
         self._missing_after: int | None = None  # `last_sequence` when missing events led to a request
         # The value of `last_sequence` before a snapshot ahead of a gap was applied. It is kept until an
@@ -53,12 +53,12 @@
 
     @property
     def position(self) -> int:
-        """Return the number up to which no event is awaited; skipped events that arrive late still apply."""
+        """The number up to which no event is awaited; a skipped event that arrives late is still applied."""
         return max(self.last_sequence, self._skipped_through)
 
     @property
     def awaits_repeat(self) -> bool:
-        """Return whether an invalid line led to a new request, and nothing valid was received since then."""
+        """Whether an invalid line led to a new request, and nothing valid was received since then."""
         return self._invalid_line_position is not None
 
     def is_applied(self, sequence: int) -> bool:
@@ -121,9 +121,8 @@
             self._missing_after = self.last_sequence
             return SyncState.EVENTS_MISSING
         if self._unreadable_sequence is not None and sequence < self._unreadable_sequence:
-            self._unreadable_sequence = (
-                None  # the log has no event with this number: the line was not an event
-            )
+            # The log has no event with this number, so the unreadable line was not an event.
+            self._unreadable_sequence = None
         self._skipped_through = sequence  # skipped numbers beyond the end of the log belong to future events
         self._invalid_line_position = None
         self._sequence_before_snapshot = None
--- a/function_router/net/start_orders.py
+++ b/function_router/net/start_orders.py
@@ -14,7 +14,7 @@
 RevalidateStartOrder = Callable[[float, float], float | None]
 """Checks an order against the rate limit of start orders when the order's first byte could be written.
 
-The arguments are the time as of which the order counts towards the limit, and the present time. The result is
+The arguments are the time as of which the order counts towards the limit, and the current time. The result is
 the time as of which the order counts if it is sent now, or None if it must not be sent. All times are on the
 decision module's clock.
 """
--- a/function_router/net/start_times.py
+++ b/function_router/net/start_times.py
@@ -9,10 +9,10 @@
 
 from function_router.net.clock import Clock
 
-# A start that a live update of the endpoint log reports was at most this long ago.
+# Maximum age of a start that a live update of the endpoint log reports.
 MAX_LIVE_UPDATE_AGE_MS = 60_000.0
-# An age that is negative by more than this shows that a clock is wrong; a smaller difference between clocks
-# is normal.
+# Maximum normal difference between the clocks of two machines. An age that is negative by more than this
+# shows that a clock is wrong.
 MAX_CLOCK_DIFFERENCE_MS = 1_000.0
 
 
@@ -33,7 +33,7 @@
         self._converted: dict[int, _ConvertedStart] = {}  # by worker id
 
     def on_caught_up(self) -> None:
-        """Record that the router has received all present events of the endpoint log."""
+        """Record that the router has received all current events of the endpoint log."""
         self._caught_up_at_ms = self._clock.now_ms()
 
     def remove_worker(self, worker_id: int) -> None:
--- a/function_router/net/transient_errors.py
+++ b/function_router/net/transient_errors.py
@@ -15,9 +15,10 @@
 # More errors are transient during startup: a previous process may still use the address, the machine may not
 # have configured the address yet, or epoll_ctl(2) may have reached the limit on watches.
 STARTUP_ERRORS = TRANSIENT_ERRORS | {errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENOSPC}
-# A router has 10 s to become ready. An operation that fails for longer than this is reported as failed.
+# Maximum duration of the retries of an operation. The operation is then reported as failed, as a router has
+# 10 s to become ready.
 STARTUP_RETRY_S = 5.0
-# Tries of an operation are this far apart.
+# Interval between two tries of an operation.
 STARTUP_RETRY_INTERVAL_S = 0.02
 
 ResultT = TypeVar("ResultT")
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -19,30 +19,32 @@
 from function_router.net.timer_wheel import Timer
 from function_router.net.worker_messages import Attempt, Exchange
 
-# A partial frame that does not grow for this long is treated as truncated: no later frame can be decoded.
+# Timeout of a partial frame that does not grow. The frame then counts as truncated, and no later frame can be
+# decoded.
 PARTIAL_FRAME_TIMEOUT_MS = 250.0
-# A connection keeps this many ids of ended exchanges, as a late or duplicate answer to them may still arrive.
+# Maximum number of ids of ended exchanges that a connection keeps. A late or duplicate answer to such an
+# exchange may still arrive.
 MAX_USED_IDS = 1_024
-# A connection with this many unwritten bytes gets no new exchange, as its worker does not read.
+# Number of unwritten bytes from which a connection gets no new exchange, as its worker does not read.
 MAX_PENDING_BYTES = 256 * 1024
 
 _CLOSED_REMOTELY = (CloseReason.RESET_BY_PEER, CloseReason.CLOSED_BY_PEER)
 
 
 class WorkerConnectionOwner(Protocol):
-    """The worker that a connection leads to; the connection notifies it of its state changes."""
+    """The worker that a connection leads to, which is notified when the connection opens or closes."""
 
     @property
     def worker_id(self) -> int:
-        """Return the id of the worker."""
+        """The id of the worker."""
 
     @property
     def address(self) -> Address:
-        """Return the address on which the worker listens."""
+        """The address on which the worker listens."""
 
     @property
     def state(self) -> WorkerState:
-        """Return the state of the worker in the endpoint list."""
+        """The state of the worker in the endpoint list."""
 
     def on_connection_established(self, connection: "WorkerConnection") -> None:
         """Handle a connection that has just been established."""
@@ -55,7 +57,7 @@
 
 
 class ConnectError(FunctionRouterError):
-    """Raised if a connect to a worker fails at once or exceeds a limit; `reason` is the cause."""
+    """Raised if a connect to a worker fails at once or would exceed a limit; `reason` is the cause."""
 
     def __init__(self, owner: WorkerConnectionOwner, reason: CloseReason) -> None:
         super().__init__(f"cannot connect to worker {owner.worker_id} at {owner.address}: {reason.name}")
@@ -68,7 +70,7 @@
     Args:
         loop: The event loop that serves the connection.
         owner: The worker that the connection leads to.
-        transport: The source of the connect timeout and of the limit of exchanges on one connection.
+        transport: The settings with the connect timeout and the limit of exchanges on one connection.
         telemetry: Logs protocol errors of the worker, and records violations of invariants.
         readiness: Decides whether the connection may carry new work.
 
@@ -104,7 +106,7 @@
         telemetry: Telemetry,
         readiness: ReadinessAdapter,
     ) -> None:
-        """Begin to connect to the worker `owner` at its present address.
+        """Begin to connect to the worker `owner` at its current address.
 
         Raises:
             ConnectError: The connect failed at once; `owner` is not notified in this case.
@@ -131,17 +133,17 @@
 
     @property
     def is_connected(self) -> bool:
-        """Return whether the connection is established and open."""
+        """Whether the connection is established and open."""
         return self.connection.is_connected and not self.connection.is_closed
 
     @property
     def was_established(self) -> bool:
-        """Return whether the connection has been established at some time, even if it is closed now."""
+        """Whether the connection was ever established, even if it is closed now."""
         return self.connection.is_connected
 
     @property
     def has_attempt_in_flight(self) -> bool:
-        """Return whether one of the exchanges in flight is an attempt."""
+        """Whether one of the exchanges in flight is an attempt."""
         return any(isinstance(exchange, Attempt) for exchange in self.exchanges.values())
 
     def idle_ms(self) -> float:
@@ -162,14 +164,14 @@
         return has_capacity and is_new_id and self.connection.pending_bytes < MAX_PENDING_BYTES
 
     def has_reached_end_of_stream(self) -> bool:
-        """Return whether the worker has closed the connection and the router has read all bytes before."""
+        """Return whether the worker has closed the connection and no received byte is unread."""
         return self.connection.peek() is PeekResult.END
 
     def stale_idle_ms(self, reason: CloseReason) -> float | None:
         """Return how long the connection had been idle if it broke just after its reuse; None otherwise.
 
         Args:
-            reason: Why the connection closed; its exchanges must not have been taken off yet.
+            reason: Why the connection closed; `take_all_exchanges` must not have been called yet.
         """
         is_broken_in_use = reason in _CLOSED_REMOTELY and bool(self.exchanges)
         is_stale = is_broken_in_use and self._activity.is_newly_active()
--- a/function_router/net/worker_messages.py
+++ b/function_router/net/worker_messages.py
@@ -21,7 +21,7 @@
 from function_router.net.timer_wheel import Timer
 from function_router.net.write_queue import PendingWrite
 
-# A number in an answer has at most this many digits; a longer one is not a plausible count.
+# Maximum number of digits of a number in an answer. A longer number is not a plausible count.
 MAX_COUNT_DIGITS = 9
 
 _ATTEMPT_OUTCOMES = {
@@ -127,17 +127,17 @@
 
     @property
     def is_started(self) -> bool:
-        """Return whether the worker may have received some bytes of the message."""
+        """Whether the worker may have received some bytes of the message."""
         return self.pending_write is not None and self.pending_write.written > 0
 
     @property
     @abstractmethod
     def is_new_work(self) -> bool:
-        """Return whether the exchange is new work, which a draining worker must not be sent."""
+        """Whether the exchange is new work, which must not be sent to a draining worker."""
 
     @abstractmethod
     def encode(self) -> bytes:
-        """Return the frame to send; a timeout in the frame is relative to the present time."""
+        """Return the frame to send; a timeout in the frame is relative to the current time."""
 
     def timeout_excess_ms(self, _now_ms: float) -> float:
         """Return by how much the timeout in the frame exceeds the time left until the deadline."""
@@ -222,7 +222,8 @@
         idempotency_key: The key by which workers recognize a repeated attempt; empty if the class needs none.
         body: The request's body.
         deadline_ms: When the client stops waiting, on the monotonic clock.
-        encoded_timeout_ms: The timeout in the frame: the time left until the deadline when it was encoded.
+        encoded_timeout_ms: The timeout in the frame: the time left until the deadline when the frame was
+            encoded.
     """
 
     on_done: Callable[["Attempt", Result], None]
@@ -235,7 +236,7 @@
 
     @property
     def is_new_work(self) -> bool:
-        """Return True, as an attempt is always new work."""
+        """Always True, as an attempt is new work."""
         return True
 
     def encode(self) -> bytes:
@@ -264,7 +265,7 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class StartOrder(Exchange):
-    """An order to keep at least `instances` instances of a function running; a probe if that is 0.
+    """An order to keep at least `instances` instances of a function running; a probe if `instances` is 0.
 
     A probe starts no instance: it asks how many instances the worker has.
 
@@ -280,7 +281,7 @@
 
     @property
     def is_new_work(self) -> bool:
-        """Return whether the order is more than a probe."""
+        """Whether the order is more than a probe."""
         return self.instances > 0
 
     def encode(self) -> bytes:
@@ -310,7 +311,7 @@
 
     @property
     def is_new_work(self) -> bool:
-        """Return False, as a health check is never new work."""
+        """Always False, as a health check is not new work."""
         return False
 
     def encode(self) -> bytes:
--- a/function_router/net/worker_pool.py
+++ b/function_router/net/worker_pool.py
@@ -19,10 +19,10 @@
 from function_router.net.worker_messages import Attempt, Exchange, HealthCheck, StartOrder
 
 EXCHANGE_ID_BYTES = 8
-# The first id of start orders and health checks is random, so that routers don't use the same ids.
+# Size of the first id of start orders and health checks. The id is random, so that routers don't use the same
+# ids.
 FIRST_EXCHANGE_ID_BITS = 62
-# A health check without an answer ends after this time. Workers answer health checks at once, whatever
-# functions they run.
+# Timeout of a health check. Workers answer health checks at once, whatever functions they run.
 HEALTH_CHECK_TIMEOUT_MS = 1_000.0
 
 
@@ -135,7 +135,7 @@
         return next(self._exchange_ids).to_bytes(EXCHANGE_ID_BYTES, "big")
 
     def cancel(self, exchange: Exchange) -> None:
-        """Cancel an exchange unless it is done; also cancel an attempt at the worker that may have got it."""
+        """Cancel an exchange unless it is done; also cancel an attempt that the worker may have received."""
         exchange.abort(CloseReason.CANCELLED)
 
     def cancel_if_unsent(self, exchange: Exchange) -> None:
--- a/tests/net/test_connection_activity.py
+++ b/tests/net/test_connection_activity.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    """A fake clock for the activity."""
+    """A fake clock that the activity reads."""
     clock = FakeMonotonicClock(STARTED_AT_MS)
     monkeypatch.setattr(connection_activity, "monotonic_ms", clock.read_ms)
     return clock
--- a/tests/net/test_endpoint_list_status.py
+++ b/tests/net/test_endpoint_list_status.py
@@ -68,7 +68,7 @@
 
 
 def skip_unreadable_event(harness):
-    """Have the log send an unreadable event, again on request, and then announce its number."""
+    """Have the log send an unreadable event, repeat it on request, and then announce its number."""
     for count in (2, 2):
         harness.endpoint_log.send_line(UNREADABLE_EVENT)
         harness.run_until(
--- a/tests/net/test_invariants.py
+++ b/tests/net/test_invariants.py
@@ -1,4 +1,4 @@
-"""Tests of the run-time checks, which have to count invariants that a test violates on purpose."""
+"""Tests of the run-time checks: an invariant that a test violates on purpose has to be counted."""
 
 import pytest
 from helpers.exchanges import attempt
--- a/tests/net/test_transient_errors.py
+++ b/tests/net/test_transient_errors.py
@@ -8,13 +8,13 @@
 
 
 class FakeSleepClock:
-    """A clock that only sleeping advances."""
+    """A clock that advances only when `sleep` is called."""
 
     def __init__(self):
         self.now_s = 0.0
 
     def read_s(self):
-        """Return the present time."""
+        """Return the current time."""
         return self.now_s
 
     def sleep(self, seconds):
--- a/tests/net/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -14,7 +14,7 @@
 from function_router.net.codecs import worker_frames
 from function_router.net.event_loop import WRITE
 
-# These codes of answers are those in the documentation.
+# Codes of answers, as documented.
 NOT_LOADED = 2
 QUEUE_FULL = 3
 INVALID_FRAME = b"HTTP/1.1 200 OK\r\n\r\n"
