--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -214,9 +214,9 @@
     """Return the age of a start that a new event reports, on the decision module's clock."""
     up_since_ms = clock.unix_ms() - started_ago_ms
     harness.endpoint_log.send_line(endpoint_event(2, worker.record(up_since_ms=up_since_ms)))
-    decided = harness.router_process.router.fleet.workers.by_id[worker.worker_id]
-    harness.run_until(lambda: decided.started_ms is not None, "the start time is known")
-    return harness.router_process.loop.clock.now_ms() - decided.started_ms
+    fleet_worker = harness.router_process.router.fleet.workers.by_id[worker.worker_id]
+    harness.run_until(lambda: fleet_worker.started_ms is not None, "the start time is known")
+    return harness.router_process.loop.clock.now_ms() - fleet_worker.started_ms
 
 
 def test_start_in_the_future_counts_from_now(harness, worker):
--- a/tests/net/test_sequence_tracker.py
+++ b/tests/net/test_sequence_tracker.py
@@ -47,7 +47,7 @@
     assert tracker.record_invalid_line() is InvalidLineResponse.REQUEST_AGAIN
 
 
-def test_skipped_event_is_still_applied_if_it_comes(tracker):
+def test_skipped_event_is_still_applied_if_it_arrives_late(tracker):
     tracker.skip_through(8, is_unreadable=False)
 
     assert tracker.position == 8
@@ -111,7 +111,7 @@
     return tracker.record_announcement(sequence, may_repeat_request=False)
 
 
-def test_list_without_an_unreadable_event_is_not_complete_until_that_or_a_snapshot_comes(tracker):
+def test_list_is_incomplete_after_an_unreadable_event_until_a_snapshot_is_applied(tracker):
     tracker.skip_through(6, is_unreadable=True)
     assert announce(tracker, 6) is SyncState.EVENT_UNREADABLE
     tracker.record_applied(7)
--- a/tests/net/test_worker_pool.py
+++ b/tests/net/test_worker_pool.py
@@ -42,7 +42,7 @@
     assert worker_id in pool.workers
 
 
-def test_removed_worker_is_forgotten_once_its_last_exchange_is_finished(harness, pool, worker, results):
+def test_removed_worker_leaves_the_pool_once_its_last_exchange_is_finished(harness, pool, worker, results):
     worker_id = worker.worker_id
     harness.run_attempt(worker, results)
 
