--- a/function_router/net/connection_budget.py
+++ b/function_router/net/connection_budget.py
@@ -40,9 +40,9 @@
     def ensure_capacity(self) -> bool:
         """Ensure that one more connection may be opened, and return whether that succeeded.
 
-        If the budget is used up, the connection that has been idle for longest is closed. If idle ones stayed
-        open, the workers that get exchanges first would keep all connections, with more workers than
-        connections.
+        If the budget is used up, the connection that has been idle for longest is closed. If idle
+        connections stayed open and there were more workers than connections, the workers that get exchanges
+        first would keep all of them.
         """
         if self.connection_count < self._max_connections:
             return True
