--- a/function_router/net/connection_set.py
+++ b/function_router/net/connection_set.py
@@ -24,7 +24,8 @@
     finished, gets no new exchange and doesn't count towards the worker's limit of connections.
 
     Attributes:
-        last_lost_ms: When a connection was last lost, on the monotonic clock; None if none was.
+        last_lost_ms: When a connection was last lost (see `is_connection_loss`), on the monotonic clock; None
+            if none was.
     """
 
     __slots__ = ("_connections", "_resources", "last_lost_ms")
