--- a/function_router/net/router_process.py
+++ b/function_router/net/router_process.py
@@ -80,7 +80,7 @@
         self.router = Router(config.settings, config.seed)
         self.pool = self._create_pool()
         self.table = self._create_table()
-        self._decisions = DecisionHost(self.router, self.loop, self.table, self.log)
+        self._decision_host = DecisionHost(self.router, self.loop, self.table, self.log)
         self._start_times = StartTimes(self.loop.clock)
         self.endpoint_list_status = self._create_endpoint_list_status()
         self.endpoint_watch = self._create_endpoint_watch()
@@ -142,7 +142,7 @@
 
     def _decide(self, now_ms: float, events: list[Event]) -> None:
         """Pass a batch of events to the decision host, which is created after the loop and refers to it."""
-        self._decisions.handle(now_ms, events)
+        self._decision_host.handle(now_ms, events)
 
     @property
     def address(self) -> Address:
