--- a/tests/net/test_pending_requests.py
+++ b/tests/net/test_pending_requests.py
@@ -36,7 +36,7 @@
     assert (has_capacity_before, has_capacity_after) == (False, True)
 
 
-def test_request_is_found_by_the_id_of_its_client_until_it_is_removed(requests):
+def test_request_is_found_by_its_client_request_id_until_it_is_removed(requests):
     request = pending_request("r1", request_id=b"abcdefgh")
     requests.add(request)
 
