--- a/function_router/net/request_table.py
+++ b/function_router/net/request_table.py
@@ -35,7 +35,7 @@
 
 # How long a client is advised to wait before a retry if the full table rejects its request.
 FULL_TABLE_RETRY_AFTER_MS = 250.0
-# Log lines about requests have a separate rate limit.
+# Source of the log lines about requests, which have a separate rate limit.
 LOG_SOURCE = "requests"
 
 
@@ -76,7 +76,7 @@
         )
         self._health_checker = HealthChecker(loop, pool, self._requests.add_trace_step, telemetry)
         self._batch_time_ms = 0.0  # time of the batch whose actions are being performed
-        self._shutdown_at_ms = math.inf  # time from which the process may be killed (monotonic)
+        self._shutdown_at_ms = math.inf  # latest deadline (monotonic); SIGKILL may follow
 
     @property
     def pending(self) -> Mapping[str, PendingRequest]:
@@ -112,7 +112,7 @@
         return key
 
     def is_pending(self, client_request_id: bytes) -> bool:
-        """Whether a request with this id is pending and its client is still connected."""
+        """Return whether a request with this id is pending and its client is still connected."""
         request = self._requests.find_by_client_id(client_request_id)
         return request is not None and request.client_request.is_client_connected()
 
@@ -176,10 +176,10 @@
         self._health_checker.send(action)
 
     def note_withheld(self, action: NoteWithheld) -> None:
-        """Record in a request's trace that it was not sent to a worker that may be draining."""
+        """Record in a request's trace that it was not sent to a worker without a valid lease."""
         self._telemetry.count(WITHHELD)
         if request := self._requests.by_key.get(action.request_id):
-            request.add_trace_step(f"withheld from {action.worker_id}: not proven ready")
+            request.add_trace_step(f"withheld from {action.worker_id}: no valid lease")
 
     # --- completion of a request --------------------------------------------------------------
 
@@ -189,8 +189,8 @@
     def _on_deadline(self, key: str) -> None:
         """Fail a request that the decision module did not finish by its deadline.
 
-        Normally it finishes each request earlier. The deadline timer makes sure that the client gets an
-        answer even if a fault prevents that.
+        Normally the decision module finishes each request earlier. The deadline timer makes sure that the
+        client gets an answer even if a fault prevents that.
         """
         request = self._requests.by_key[key]
         self._finish(key, Failed())
