--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -58,7 +58,7 @@
 
 
 def is_overdue(served, now_ms):
-    """Whether the next message of the connection is overdue at `now_ms`."""
+    """Return whether the next message of the connection is overdue at `now_ms`."""
     return served.messages.is_overdue(now_ms, served.connection.last_received_ms)
 
 
--- a/tests/net/test_drain.py
+++ b/tests/net/test_drain.py
@@ -86,12 +86,12 @@
         harness.run_until(lambda count=seqid: len(worker.requests) == count, "the request runs")
     started_ms = clock.monotonic_ms()
 
-    with mock.patch.object(drain, "MAX_KILL_TIMEOUT_MS", 0.0):  # 0.5 s are left instead of 9 s
+    with mock.patch.object(drain, "MAX_KILL_TIMEOUT_MS", 0.0):  # 0.5 s are left instead of 3.5 s
         harness.router_process.drain.start()
     client.send_request("view", seqid=3, row="ff" * 8)
     harness.run_until(lambda: len(client.answer_kinds()) == 4, "all requests are answered")
 
-    assert clock.monotonic_ms() - started_ms < 4000.0  # half of the time that the clients would wait
+    assert clock.monotonic_ms() - started_ms < 4000.0  # half of the timeout of the clients
     kinds = {seqid: kind for seqid, kind in client.answer_kinds().items() if seqid < 10}
     assert kinds == {1: "throttled", 2: "broken", 3: "throttled"}
     harness.run_until(lambda: not harness.router_process.loop.is_running, "the loop stops")
@@ -105,7 +105,7 @@
     started_ms = clock.monotonic_ms()
 
     with (
-        mock.patch.object(drain, "MAX_KILL_TIMEOUT_MS", 0.0),  # 0.5 s are left instead of 9 s
+        mock.patch.object(drain, "MAX_KILL_TIMEOUT_MS", 0.0),  # 0.5 s are left instead of 3.5 s
         mock.patch.object(harness.router_process.router, "handle", side_effect=KeyError),
     ):
         harness.router_process.drain.start()
--- a/tests/net/test_thrift.py
+++ b/tests/net/test_thrift.py
@@ -46,7 +46,7 @@
         pytest.param(b"GET / HTTP/1.1\r\n\r\n", None, id="no thrift at all"),
         pytest.param(b"\xff\xff\xff\xff" + b"x" * 300, None, id="negative frame length"),
         pytest.param(frame(header(version=0x80020000)), None, id="another version"),
-        pytest.param(frame(header()[:10]), None, id="truncated head"),
+        pytest.param(frame(header()[:10]), None, id="truncated header"),
         pytest.param(frame(b""), None, id="empty frame"),
         pytest.param(frame(ENDLESS_NAME), None, id="endless method name"),
         pytest.param(frame(header(b"explode") + b"\0"), 7, id="unknown method"),
--- a/tests/net/test_timer_wheel.py
+++ b/tests/net/test_timer_wheel.py
@@ -22,7 +22,7 @@
 
 @pytest.fixture(scope="module")
 def elapsed_ms_by_delay():
-    """The time after which each timer of a wheel fired, with one timer per delay."""
+    """The time after which each timer of a wheel fired, by the delay of the timer."""
     clock = FakeMonotonicClock(STARTED_AT_MS)
     wheel = TimerWheel(clock.read_ms)
     fired = {}
