--- a/function_router/net/__init__.py
+++ b/function_router/net/__init__.py
@@ -1,1 +1,1 @@
-"""The network layer of the router: sockets, protocols and timers around the decision module."""
+"""The network code of the router: sockets, protocols and timers around the decision module."""
--- a/function_router/net/acceptor.py
+++ b/function_router/net/acceptor.py
@@ -69,7 +69,7 @@
         first requests of the accepted clients are read before the next clients compete for their capacity.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: The router cannot listen on the address.
         """
         self._loop = loop
         self._owner = owner
@@ -78,7 +78,7 @@
         self._listener: socket.socket | None = _listen(address)
         self.address: Address = self._listener.getsockname()[:2]
         self.is_paused = False
-        self._unread_since = UnreadSince(loop, monotonic_ms())  # of connections in the kernel's queue
+        self._unread_since = UnreadSince(loop, monotonic_ms())  # for the kernel's queue
         self._deferred_sockets: list[AcceptedSocket] = []  # accepted, to be served after the pause
         loop.register(self._listener, READ, self._on_readable)
 
@@ -117,7 +117,7 @@
     def _serve(self, accepted: AcceptedSocket) -> bool:
         """Pass an accepted socket to the owner; return False if the owner cannot serve it now.
 
-        Such a socket is kept and served later: closing it would lose a request that its client has sent.
+        Such a socket is kept and served later, as closing it would lose a request that its client has sent.
         """
         try:
             self._owner.serve(accepted)
--- a/function_router/net/attempt_report.py
+++ b/function_router/net/attempt_report.py
@@ -6,7 +6,8 @@
 from function_router.net.close_reason import outcome_of
 from function_router.net.worker_messages import Answer, Attempt, Result
 
-# A larger number of requests in flight at a worker is reported to the decision module as this one.
+# Maximum number of requests in flight that is reported to the decision module; a larger one is reported as
+# this number.
 MAX_REPORTED_IN_FLIGHT = 30
 
 
@@ -16,7 +17,8 @@
     Attributes:
         outcome: How the attempt ended.
         start_kind: Whether the worker reused or started an instance for it.
-        in_flight: How many requests for the function the worker had before this one; None if unknown.
+        in_flight: Number of requests for the function that were in flight at the worker before this one; None
+            if unknown.
         description: The result as text for the log.
     """
 
@@ -32,7 +34,7 @@
         Args:
             attempt: An attempt that has ended.
             result: The worker's answer, or the reason why there is none.
-            reports_in_flight: Whether workers report in their answers how many requests are in flight.
+            reports_in_flight: Whether workers state in their answers how many requests are in flight.
         """
         if not isinstance(result, Answer):
             outcome = outcome_of(result, is_started=attempt.is_started)
--- a/function_router/net/attempts_in_flight.py
+++ b/function_router/net/attempts_in_flight.py
@@ -26,7 +26,7 @@
     Args:
         loop: Takes the events for the decision module.
         pool: Sends the attempts.
-        transport: Settings, which include whether workers report their requests in flight.
+        transport: The transport settings, such as whether workers report their requests in flight.
         classes: The request classes by name.
         requests: The pending requests.
         on_served: Called with a request's key and the worker's answer once a worker has served the request.
--- a/function_router/net/client_connection.py
+++ b/function_router/net/client_connection.py
@@ -11,11 +11,12 @@
 from function_router.net.invariants import Invariant
 from function_router.net.sockets import MAY_HOLD_DATA
 
-# Close reasons after which no client waits for answers: it closed the connection or does not read them.
+# Close reasons after which the client no longer waits for answers: it has closed the connection, or does not
+# read its answers.
 CLIENT_GONE_REASONS = (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER, CloseReason.WRITE_BUFFER_FULL)
 
-# A connection that is idle for this long is closed. Clients close theirs after 4 s without a request, so the
-# client of such a connection would leave it open forever.
+# How long a connection may be idle before it is closed. Clients close a connection after 4 s without a
+# request, so one that is idle for longer than this would never be closed by its client.
 IDLE_TIMEOUT_MS = 30_000.0
 # If bytes may have been unread for longer than this, the process has been stalled, and the messages of one
 # read may differ in age. Otherwise all messages of a read are treated as equally old.
@@ -82,7 +83,7 @@
         """Return how long a message was unread.
 
         The age is exact if the message ends with the last byte of the read. Earlier messages of the read may
-        be older, which matters after a stall of the process: their age is then the longest possible one.
+        be older, which matters after a stall of the process; they are then given the maximum possible age.
         """
         max_age_ms = self.connection.reader.max_receive_delay_ms
         if is_last or max_age_ms <= MIN_STALL_MS:
@@ -141,15 +142,15 @@
     # --- state for the listener ---------------------------------------------------------------
 
     def is_idle(self) -> bool:
-        """Whether no request is pending and all answers are written."""
+        """Return whether no request is pending and all answers are written."""
         return not self.session.pending and not self.connection.pending_bytes
 
     def is_silent_since(self, time_ms: float) -> bool:
-        """Whether the client connected before a time (monotonic) and has sent no byte yet."""
+        """Return whether the client connected before a time (monotonic) and has sent no byte yet."""
         return not self.messages.has_received_data and self.connection.last_used_ms < time_ms
 
     def has_unread_data(self) -> bool:
-        """Whether data from the client may be unread, or a message has been received in part."""
+        """Return whether data from the client may be unread, or a message has been received in part."""
         return not self.connection.is_closing and (
             self.messages.has_partial_message or self.connection.peek() in MAY_HOLD_DATA
         )
--- a/function_router/net/client_listener.py
+++ b/function_router/net/client_listener.py
@@ -41,7 +41,7 @@
         """Listen on an address, for at most `max_connections` clients at once.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: The router cannot listen on the address.
         """
         self.loop = loop
         self.table = table
@@ -104,11 +104,15 @@
         return sum(client.connection.pending_bytes for client in self.connections)
 
     def has_unwritten_answers(self) -> bool:
-        """Whether an answer to any client is not written yet."""
+        """Return whether an answer to any client is not written yet."""
         return self.unwritten_bytes() > 0
 
     def has_unread_data(self) -> bool:
-        """Whether data from any client may be unread, including clients whose connection is not accepted."""
+        """Accept pending connections, and return whether data from any client may be unread.
+
+        A partially received message counts as unread. While accepting is paused, clients whose connections
+        are not accepted yet may have sent data.
+        """
         if not self._acceptor.is_paused:
             self._acceptor.accept_pending()
         return self._acceptor.is_paused or any(client.has_unread_data() for client in self.connections)
--- a/function_router/net/client_messages.py
+++ b/function_router/net/client_messages.py
@@ -35,7 +35,7 @@
         """Start to wait for the first message."""
         self.has_received_message = False
         self._frames = thrift.FrameReader()
-        self._chunk_count = 0  # reads since the last one that completed a message
+        self._chunk_count = 0  # number of reads, from the last one that completed a message on
         self._waiting_since_ms = monotonic_ms()  # when the client connected, or the partial message began
 
     @property
@@ -45,7 +45,7 @@
 
     @property
     def has_received_data(self) -> bool:
-        """Whether the client has sent anything."""
+        """Whether any data has been received from the client."""
         return self.has_received_message or self._frames.has_partial_frame
 
     def feed(self, data: bytes) -> list[thrift.MessageOrError]:
@@ -65,10 +65,10 @@
         return messages
 
     def is_overdue(self, now_ms: float, last_received_ms: float) -> bool:
-        """Whether the first message, or the rest of a partial message, has taken too long.
+        """Return whether the first message, or the rest of a partial message, has taken too long.
 
         Args:
-            now_ms: The time on the monotonic clock.
+            now_ms: The current time on the monotonic clock.
             last_received_ms: When bytes were last received, on the monotonic clock.
         """
         has_partial_message = self._frames.has_partial_frame
--- a/function_router/net/client_session.py
+++ b/function_router/net/client_session.py
@@ -20,7 +20,7 @@
 from function_router.net.request_table import RequestTable
 from function_router.net.telemetry import Telemetry
 
-# Log lines about clients have a separate rate limit, which all clients share.
+# Source of the log lines about clients, which share a separate rate limit.
 LOG_SOURCE = "clients"
 # Maximum number of pending requests of one client.
 MAX_PENDING_REQUESTS = 32
@@ -150,7 +150,7 @@
     # --- answers ------------------------------------------------------------------------------
 
     def _is_client_connected(self) -> bool:
-        """Whether the client is still connected; closes the connection if its disconnect is still unread."""
+        """Return whether the client is still connected; close the connection if its disconnect is unread."""
         if self._connection.has_peer_closed():
             self._connection.close(CloseReason.CLOSED_BY_PEER)
         return not self._connection.is_closed
--- a/function_router/net/codecs/thrift_protocol.py
+++ b/function_router/net/codecs/thrift_protocol.py
@@ -63,7 +63,7 @@
     Attributes:
         seqid: Sequence number of the message; None if it cannot be read.
         kind: Kind of the application exception that answers the message.
-        method: Name of the called method; "handle" if the name cannot be read.
+        method: Name of the called method; "handle" for a malformed header or an oversized frame.
     """
 
     def __init__(self, text: str, seqid: int | None = None, kind: int = PROTOCOL_ERROR) -> None:
--- a/function_router/net/codecs/thrift_reader.py
+++ b/function_router/net/codecs/thrift_reader.py
@@ -30,13 +30,13 @@
 
 # Maximum size of a frame; a body of 16 KiB with its fields is much smaller.
 MAX_FRAME_BYTES = 48 * 1024
-# Number of bytes of an oversized frame in which its header, with the sequence number, is searched for.
+# Number of bytes at the start of an oversized frame from which its header, with the sequence number, is read.
 MAX_HEADER_BYTES = 256
 # Maximum size of a request's body, the input of the function.
 MAX_BODY_BYTES = 16 * 1024
 # Maximum length of a method name; those of the service have at most 8 bytes.
 MAX_METHOD_NAME_BYTES = 64
-# Frame sizes are signed 32-bit integers: bytes that state a size from this one on are not Thrift.
+# Frame sizes are signed 32-bit integers. Bytes that state a size of at least this limit are not Thrift.
 FRAME_SIZE_LIMIT = 2**31
 
 _U32 = struct.Struct(">I")
--- a/function_router/net/connection.py
+++ b/function_router/net/connection.py
@@ -118,7 +118,7 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes that are queued and not written yet."""
+        """The number of bytes that are queued and not written yet."""
         return self._writer.queue.pending_bytes
 
     @property
@@ -174,7 +174,7 @@
         return sockets.peek(self._sock)
 
     def has_peer_closed(self) -> bool:
-        """Whether the peer has closed the connection, even if bytes that it sent before are unread."""
+        """Return whether the peer has closed the connection, even if bytes that it sent before are unread."""
         return self.is_closed or sockets.has_peer_closed(self._sock)
 
     def set_reading(self, *, enabled: bool) -> None:
--- a/function_router/net/connection_handler.py
+++ b/function_router/net/connection_handler.py
@@ -15,7 +15,7 @@
         """Handle received bytes. An exception closes the connection with PROTOCOL_ERROR."""
 
     def on_flushed(self) -> None:
-        """Handle the end of the write at the end of a turn, which may leave `pending_bytes` queued."""
+        """Handle the end of a flush, after which `pending_bytes` may still be queued."""
 
     def on_write_delayed(self) -> None:
         """Handle a delay: queued writes are about to be sent later than intended.
@@ -42,8 +42,8 @@
 
 
 CLOSED_CONNECTION_HANDLER: ConnectionHandler = _ClosedConnectionHandler()
-"""The handler of each closed connection.
+"""The handler that replaces the handler of each closed connection.
 
-A handler and its connection refer to each other. If the handler were not replaced, both would stay in memory
-until a full garbage collection, which becomes rare in a long-running process.
+A handler and its connection refer to each other. Without the replacement, both would stay in memory until a
+full garbage collection, which becomes rare in a long-running process.
 """
--- a/function_router/net/decision_host.py
+++ b/function_router/net/decision_host.py
@@ -9,7 +9,8 @@
 from function_router.net.event_loop import EventLoop
 from function_router.net.request_table import RequestTable
 
-# Delay of a timer that replaces the decision module's own timer, which an exception may have lost.
+# Delay and token of the recovery timer, which is set after an exception of the decision module. It replaces
+# the decision module's own timer, which the exception may have lost.
 RECOVERY_TIMER_MS = 40.0
 RECOVERY_TIMER_TOKEN = 0
 
--- a/function_router/net/drain.py
+++ b/function_router/net/drain.py
@@ -16,8 +16,8 @@
 # Interval between checks of whether the drain is complete.
 CHECK_INTERVAL_MS = 20.0
 
-# SIGKILL may follow SIGTERM after the longest timeout of the request classes, up to MAX_KILL_TIMEOUT_MS, plus
-# KILL_GRACE_MS.
+# SIGKILL may follow SIGTERM after a delay: the longest timeout of the request classes, limited to
+# MAX_KILL_TIMEOUT_MS, plus KILL_GRACE_MS.
 MAX_KILL_TIMEOUT_MS = 3_000.0
 KILL_GRACE_MS = 700.0
 # How long before the earliest SIGKILL the last answers are sent.
@@ -48,7 +48,7 @@
         self._started_ms = 0.0  # monotonic; valid once started
 
     def start(self) -> None:
-        """Start to drain; does nothing if the drain has started already."""
+        """Start to drain; do nothing if the drain has started already."""
         if self._is_started:
             return
         self._log("draining before exit")
@@ -69,7 +69,7 @@
             self._loop.timers.call_later(CHECK_INTERVAL_MS, self._stop_if_complete)
 
     def _has_pending_work(self) -> bool:
-        """Whether a request is pending or unread, or an answer is not written yet.
+        """Return whether a request is pending or may be unread, or an answer is not written yet.
 
         Clients regard a request as accepted as soon as their connection is accepted, even if the router has
         not read the request yet.
--- a/function_router/net/event_loop.py
+++ b/function_router/net/event_loop.py
@@ -149,7 +149,7 @@
         return ready
 
     def _start_turn(self) -> None:
-        """Set the turn's time from both clocks, and determine by how much the wall clock was set.
+        """Set the turn's time from both clocks, and the step of the wall clock since the previous poll.
 
         This is called after each poll, so a second poll in a turn replaces the turn's time.
         """
--- a/function_router/net/pending_request.py
+++ b/function_router/net/pending_request.py
@@ -18,7 +18,7 @@
     Attributes:
         key: Identifies the request within this router.
         client_request: The client's request and its callbacks.
-        deadline_ms: By when the request must be answered, on the monotonic clock.
+        deadline_ms: The time by which the request must be answered, on the monotonic clock.
         deadline_timer: Fires at the deadline.
         attempt_count: Number of attempts that were sent; the decision module numbers them in the same order.
         first_run_at_ms: Creation time, on the monotonic clock, of the earliest attempt that has ended and may
--- a/function_router/net/pending_requests.py
+++ b/function_router/net/pending_requests.py
@@ -23,12 +23,12 @@
         self._keys_by_client_id: dict[bytes, str] = {}
 
     def has_capacity_for(self, invocation: Invocation) -> bool:
-        """Whether the limits allow one more request, with the body of this invocation."""
+        """Return whether the limits allow one more request, with the body of this invocation."""
         has_free_entry = len(self.by_key) < self._max_requests
         return has_free_entry and self._body_bytes + len(invocation.body) <= MAX_TOTAL_BODY_BYTES
 
     def add(self, request: PendingRequest) -> None:
-        """Add a request; no other pending request may have its key or its client's id."""
+        """Add a request; no other pending request may have its key or the id that its client gave it."""
         invocation = request.invocation
         self.by_key[request.key] = request
         self._body_bytes += len(invocation.body)
--- a/function_router/net/receive_timestamps.py
+++ b/function_router/net/receive_timestamps.py
@@ -1,6 +1,6 @@
-"""Measures how long received bytes were unread, by the kernel's receive timestamps (Linux, SO_TIMESTAMPNS).
+"""Measures how long received bytes were unread, with the kernel's receive timestamps (Linux, SO_TIMESTAMPNS).
 
-A process that has stalled reads a request late, while the client's timeout has already been running.
+After a stall, the process reads requests late, and the timeouts of their clients have been running meanwhile.
 """
 
 import contextlib
--- a/function_router/net/reload.py
+++ b/function_router/net/reload.py
@@ -39,7 +39,7 @@
         endpoint_watch: EndpointWatch,
         log: Callable[[str], None],
     ) -> None:
-        """Prepare to reload with `read_config`, in a process that was started with the `current` one."""
+        """Prepare to reload with `read_config`, in a process that was started with `current`."""
         self._current = current
         self._read_config = read_config
         self._loop = loop
--- a/function_router/net/request_parser.py
+++ b/function_router/net/request_parser.py
@@ -22,7 +22,7 @@
 PROPERTY_CONCURRENCY = "lanes"
 PROPERTY_START_MS = "load_ms"
 
-# A client's timeout is at most that of its class; the factor allows for rounding.
+# A client's timeout is at most that of its request class; this factor on the limit allows for rounding.
 TIMEOUT_TOLERANCE = 1.1
 # Maximum number of requests that one instance may run at once.
 MAX_CONCURRENCY = 4_096
--- a/function_router/net/router_process.py
+++ b/function_router/net/router_process.py
@@ -32,7 +32,7 @@
 CLIENT_SHARE = 0.4
 # Share of the file descriptors for connections to workers.
 WORKER_SHARE = 0.4
-# Minimum for the limit on each kind of connections, even if there are very few file descriptors.
+# Minimum of both connection limits, even if there are very few file descriptors.
 MIN_CONNECTIONS = 4
 
 
--- a/function_router/net/socket_reader.py
+++ b/function_router/net/socket_reader.py
@@ -35,7 +35,10 @@
         self._unread_since.on_reported_readable()
 
     def on_watch_resumed(self) -> None:
-        """Record that the event loop now watches the socket for reading again, or no longer does."""
+        """Record that the event loop starts or stops watching the socket for reading.
+
+        The polls so far then prove nothing about its data.
+        """
         self._unread_since.on_watch_resumed()
 
     def receive(self) -> bytes | CloseReason | None:
@@ -63,7 +66,7 @@
         return data
 
     def should_read_again(self, data: bytes) -> bool:
-        """Whether to read again in this turn after a read that returned `data`.
+        """Return whether to read again in this turn after a read that returned `data`.
 
         After a full read, more data is likely. A socket that every poll has reported as readable for a long
         time is read until it is empty, as only this proves that later data is new.
--- a/function_router/net/socket_writer.py
+++ b/function_router/net/socket_writer.py
@@ -13,7 +13,7 @@
 
     Attributes:
         queue: The bytes that are not written yet.
-        is_blocked: Whether the last write was partial because the socket's buffer was full.
+        is_blocked: Whether the last write left bytes in the queue, for which the socket must become writable.
         last_write_ms: When the last write started, on the monotonic clock.
     """
 
--- a/function_router/net/sockets.py
+++ b/function_router/net/sockets.py
@@ -72,7 +72,7 @@
 
 
 def has_peer_closed(sock: socket.socket) -> bool:
-    """Whether the peer has closed the connection, even if bytes that it sent before are unread."""
+    """Return whether the peer has closed the connection, even if bytes that it sent before are unread."""
     unread = peek(sock)
     if unread is not PeekResult.DATA:
         return unread is PeekResult.END
--- a/function_router/net/timer_wheel.py
+++ b/function_router/net/timer_wheel.py
@@ -18,7 +18,7 @@
 
 
 class Timer(Struct, eq=False):
-    """A callback that is due at a tick; it is None once the timer has fired or was cancelled."""
+    """A callback that is due at a tick; the callback is None once the timer has fired or was cancelled."""
 
     due_tick: int
     callback: Callable[[], None] | None
@@ -29,7 +29,7 @@
 
 
 def _ignore_exception(_where: str) -> None:
-    """The default of `on_exception`, until the owner of the wheel sets it."""
+    """Do nothing; the default of `on_exception` until the owner of the wheel sets it."""
 
 
 class TimerWheel:
--- a/function_router/net/unread_since.py
+++ b/function_router/net/unread_since.py
@@ -46,5 +46,8 @@
         self._last_reported_poll = self._loop.poll_count
 
     def should_read_until_empty(self) -> bool:
-        """Whether the socket must be read until it is empty, as every poll has reported it for too long."""
+        """Return whether the socket must be read until it is empty.
+
+        This is the case once every poll has reported the socket for longer than MAX_READABLE_INTERVAL_MS.
+        """
         return self.max_wait_ms > MAX_READABLE_INTERVAL_MS
