--- a/function_router/net/codecs/thrift_protocol.py
+++ b/function_router/net/codecs/thrift_protocol.py
@@ -96,7 +96,7 @@
 
 
 class Status(Struct, frozen=True):
-    """The question whether the router is ready."""
+    """A status request, which asks whether the router is ready."""
 
     seqid: int
 
--- a/function_router/net/event_loop.py
+++ b/function_router/net/event_loop.py
@@ -127,7 +127,7 @@
             self._log(f"slow turn: {took_ms:.0f} ms for {len(ready)} sockets")
 
     def _poll(self, wait_s: float | None) -> ReadySockets:
-        """Wait until a socket is ready, and record the time of the poll.
+        """Wait until a socket is ready or the wait is over, and record the time of the poll.
 
         The time of a poll is taken before its system call, as SIGSTOP may stop the process while the call
         returns. After a long wait, this time is too imprecise, so the sockets are polled again without
--- a/tests/net/test_event_loop.py
+++ b/tests/net/test_event_loop.py
@@ -237,7 +237,7 @@
     select = loop._selector.select
 
     def interrupted(timeout):
-        """Return like a wait that SIGCONT interrupts: the timeout is over, and no socket was examined."""
+        """Return like a wait that SIGCONT interrupts (EINTR) until its timeout: no socket was examined."""
         return [] if timeout else select(timeout)
 
     with mock.patch.object(loop._selector, "select", interrupted):
