--- a/soak/figures.py
+++ b/soak/figures.py
@@ -31,7 +31,7 @@
 def _count_request(request: RequestHistory, figures: Counter[str]) -> None:
     figures["requests"] += 1
     figures["attempts"] += len(request.attempts)
-    figures["sent again after a close"] += sum(lost.is_retried for lost in request.lost)
+    figures["sent again after a close"] += sum(lost.is_retried for lost in request.lost_connections)
     if request.client_gone:
         figures["clients that left"] += 1
     elif request.answers:
--- a/soak/history.py
+++ b/soak/history.py
@@ -30,7 +30,7 @@
     sent: list[RequestSent] = field(default_factory=list)
     answers: list[RequestAnswered] = field(default_factory=list)
     client_gone: ClientGone | None = None
-    lost: list[ConnectionLost] = field(default_factory=list)
+    lost_connections: list[ConnectionLost] = field(default_factory=list)
     attempts: list[AttemptSeen] = field(default_factory=list)
     worker_answers: list[WorkerAnswerSeen] = field(default_factory=list)
 
@@ -44,7 +44,7 @@
             case ClientGone():
                 self.client_gone = record
             case ConnectionLost():
-                self.lost.append(record)
+                self.lost_connections.append(record)
             case AttemptSeen():
                 self.attempts.append(record)
             case WorkerAnswerSeen():
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -35,20 +35,20 @@
             case ClientFault() as client_fault:
                 await client_fault.inject(self._cluster, fault)
 
-    async def _inject_into_logs(self, registered: LogFault, fault: Fault) -> None:
+    async def _inject_into_logs(self, log_fault: LogFault, fault: Fault) -> None:
         """Inject a fault of all endpoint logs unless one is active; reserve the workers that it replaces."""
         if self._is_log_outage_active:
             return
         self._is_log_outage_active = True
         with _reserve(fault.workers, self._busy_workers) as workers:
-            await registered.inject(
+            await log_fault.inject(
                 self._cluster, [self._cluster.workers[number] for number in workers], fault
             )
         self._is_log_outage_active = False
 
-    async def _inject_into_routers(self, registered: RouterFault, fault: Fault, numbers: list[int]) -> None:
+    async def _inject_into_routers(self, router_fault: RouterFault, fault: Fault, numbers: list[int]) -> None:
         routers = [self._cluster.routers[number] for number in numbers]
-        await asyncio.gather(*(registered.inject(self._cluster, router, fault) for router in routers))
+        await asyncio.gather(*(router_fault.inject(self._cluster, router, fault) for router in routers))
 
 
 @contextlib.contextmanager
--- a/soak/request_rules.py
+++ b/soak/request_rules.py
@@ -36,7 +36,7 @@
         yield Violation(Rule.DUPLICATE, f"{context}: {kinds}")
     if not request.answers:
         if not _was_router_killed(sent, routers):
-            causes = [f"{lost.cause} at +{lost.at - sent.at:.3f}" for lost in request.lost]
+            causes = [f"{lost.cause} at +{lost.at - sent.at:.3f}" for lost in request.lost_connections]
             text = f"{context}, timeout {sent.timeout_s:.2f}: {causes or 'no answer'}"
             yield Violation(Rule.LOST, text)
         return
--- a/tests/soak_test/test_command_line.py
+++ b/tests/soak_test/test_command_line.py
@@ -34,9 +34,9 @@
 @pytest.fixture
 def runs(monkeypatch):
     """Replace the runs that the command line starts by fakes, and return these."""
-    stub = FakeRuns()
-    monkeypatch.setattr(command_line, "_run", stub.run)
-    return stub
+    fake_runs = FakeRuns()
+    monkeypatch.setattr(command_line, "_run", fake_runs.run)
+    return fake_runs
 
 
 @pytest.fixture
