--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -8,9 +8,10 @@
   (`router_slot`), workers (`worker_slot`), an endpoint log for each router (`endpoint_feed`, `endpoint_log`)
   and the clients (`traffic`). `run_record` holds what the cluster records about its processes.
 - Processes: `module_process` starts the clients, the proxy and the workers. The first two are controlled by
-  `commands`, and write their observations as `records`. `clients` sends requests (`request_client`) and
-  protocol violations (`bad_clients`) over `client_connections`, `thrift_client` and `thrift_messages`.
-  `proxy` observes frames with a `frame_tap`. Routers run with `shim`, which preloads the library of `shim.c`.
+  `commands`, and write their observations as `records`. `clients` sends requests (`request_client`, over
+  `client_connections` and `thrift_client`) and protocol violations (`bad_clients`), which `thrift_messages`
+  encodes. `proxy` observes frames with a `frame_tap`. `worker` simulates function instances. Routers run
+  with the library of `shim.c`, which `shim` compiles and controls.
 - Check: `checker` loads all records as a `history`, checks it with `request_rules`, `worker_rules` and
   `router_rules`, and counts `figures` for the report.
 """
--- a/soak/bad_clients.py
+++ b/soak/bad_clients.py
@@ -1,4 +1,4 @@
-"""Clients that violate the protocol, to which a router must respond in 3 s.
+"""Clients that violate the protocol, to which a router must respond within 3 s.
 
 A rejection, an error and a closed connection count as responses.
 """
--- a/soak/client_connections.py
+++ b/soak/client_connections.py
@@ -5,7 +5,7 @@
 
 from soak.thrift_client import ThriftConnection
 
-MAX_PENDING_REQUESTS = 32  # on a connection; one with as many gets no more
+MAX_PENDING_REQUESTS = 32  # per connection; one at the limit gets no more requests
 MAX_IDLE_S = 4.0  # from the last use of a connection until the client closes it
 REUSABLE_SHARE = 0.5  # share of extra connections that are reused; the others stay open unused
 
@@ -14,7 +14,7 @@
     """Opens and reuses connections; owns all of them except private ones, which the caller closes."""
 
     def __init__(self, rng: random.Random, min_per_router: int) -> None:
-        """Keep at least `min_per_router` connections to each router that gets requests."""
+        """Open a connection for each request to a router until `min_per_router` to it are open."""
         self._rng = rng
         self._min_per_router = min_per_router
         self._reusable: dict[int, list[ThriftConnection]] = {}  # by port
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,4 +1,4 @@
-"""The process of all clients of a run: open-loop requests, cancellations, early closes, and bad clients.
+"""The process that runs all clients: open-loop requests, cancellations, early closes, and bad clients.
 
 The process reads commands as JSON lines from standard input. It exits at the end of the input, once no
 request is pending.
@@ -57,7 +57,7 @@
     async def _run_arrivals(
         self, get_rate: Callable[[], float], start: Callable[[int], Coroutine[None, None, None]]
     ) -> None:
-        """Call `start` with random routers, as a Poisson process with the current rate."""
+        """Call `start` for a random router at each arrival of a Poisson process with the current rate."""
         while True:
             rate = get_rate()
             await asyncio.sleep(self._rng.expovariate(rate) if rate else RATE_POLL_S)
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -74,20 +74,20 @@
 
     @property
     def router_incarnations(self) -> list[RouterIncarnation]:
-        """Return the incarnations of all routers, ordered by router and then by start time."""
+        """The incarnations of all routers, ordered by router and then by start time."""
         return [incarnation for router in self.routers for incarnation in router.incarnations]
 
     @property
     def worker_incarnations(self) -> list[WorkerIncarnation]:
-        """Return the incarnations of all worker slots, ordered by start time."""
+        """The incarnations of all worker slots, ordered by start time."""
         incarnations = [incarnation for slot in self.workers for incarnation in slot.incarnations]
         return sorted(incarnations, key=lambda incarnation: incarnation.started_at)
 
     async def start_router(self, router: RouterSlot) -> None:
         """Start an incarnation of a router, configured with the current endpoint list.
 
-        With a shim, some system calls fail during its first second: a transient failure must not end a router
-        that starts.
+        With a shim, some system calls fail during the first second, as a transient failure must not end a
+        router that starts.
         """
         router.config.endpoint_log_port = self.endpoints.servers[router.number].port
         router.config.known_sequence = self.endpoints.last_sequence
--- a/soak/endpoint_feed.py
+++ b/soak/endpoint_feed.py
@@ -28,7 +28,7 @@
 
     @property
     def last_sequence(self) -> int:
-        """Return the sequence number of the last event."""
+        """The sequence number of the last event."""
         return self._events[-1].sequence
 
     async def start(self, endpoints: Sequence[Endpoint]) -> None:
--- a/soak/endpoint_log.py
+++ b/soak/endpoint_log.py
@@ -4,9 +4,9 @@
 events, each as a line of JSON, then a heartbeat line with the sequence number of the last event, and repeats
 the heartbeat at an interval.
 
-A router normally counts as notified of an event from its publication on. During a fault of the log, it counts
-as notified no earlier than 2 s after the start of the fault if connections broke, or 4 s if the log fell
-silent or moved.
+A router normally counts as notified of an event from its publication on. After a fault of the log, it counts
+as notified no earlier than 2 s after connections broke, or 4 s after the log fell silent or moved, even if
+the fault lasts longer.
 """
 
 import asyncio
@@ -24,18 +24,18 @@
 HEARTBEAT_S = 1.0
 OLD_PORT_CLOSE_DELAY_S = 1.5  # from a move until connections to the old port are closed
 NOTIFIED_AFTER_BREAK_S = 2.0  # from the break of connections until a router counts as notified
-NOTIFIED_AFTER_SILENCE_S = 4.0  # the same for a log that falls silent or moves
+NOTIFIED_AFTER_SILENCE_S = 4.0  # from the silence or move of a log until a router counts as notified
 TRICKLE_INTERVAL_S = 0.4  # between the single bytes of a log that trickles
 SEQUENCES_AHEAD = 5  # number of missing events that a heartbeat announces
 FLAP_DOWN_S = 2.5  # how long a log that flaps refuses connections at a time
-FLAP_UP_S = 0.4  # how long it works in between
+FLAP_UP_S = 0.4  # how long a log that flaps works between two refusals
 
-# The index of the sequence number in a router's request, after a word.
+# The index of the sequence number among the words of a router's request, which is "since N".
 KNOWN_SEQUENCE_INDEX = 1
 
 
 class LogFailure(Enum):
-    """The ways in which a log fails during a long outage; a fault's intensity selects one by its position."""
+    """The ways in which a log fails during a long outage; a fault's intensity selects one by position."""
 
     REFUSES = auto()  # closes its connections, and refuses new ones
     IS_SILENT = auto()  # accepts connections, but sends nothing
@@ -168,7 +168,7 @@
     async def _send_events(
         self, writer: asyncio.StreamWriter, known_sequence: int, server: asyncio.Server | None
     ) -> None:
-        """Send events as they are published, but nothing once `server` no longer listens, after a move."""
+        """Send events as they are published, but none during a silence or after a move replaced `server`."""
         while not writer.is_closing():
             if server is self._server and not self._is_silent:
                 known_sequence = self._send_update(writer, known_sequence)
@@ -181,7 +181,7 @@
                     continue
 
     def _send_update(self, writer: asyncio.StreamWriter, known_sequence: int) -> int:
-        """Send new events and a heartbeat, or what the failure prescribes; return the last number sent."""
+        """Send new events and a heartbeat, or what the failure prescribes; return the new known sequence."""
         last_sequence = self._events[-1].sequence
         match self._failure:
             case LogFailure.IS_SILENT | LogFailure.REFUSES:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -26,7 +26,7 @@
 MAX_SIGNAL_INTERVAL_S = 0.2
 MAX_INTENSITY_WITHOUT_ROLL = 0.5  # above this, a series of signals includes a rolling restart
 MIN_PAUSE_S = 0.1
-MAX_EXTRA_PAUSE_S = 0.15  # added to the minimum at full intensity
+MAX_EXTRA_PAUSE_S = 0.15  # added to MIN_PAUSE_S at full intensity
 PAUSE_INTERVAL_S = 0.4  # from the end of a pause to the next one
 CLOCK_STEPS_S = (5.0, -5.0, 3600.0, -3600.0, 60.0)  # the intensity selects one
 MIN_WORKER_DOWNTIME_S = 0.1  # from the kill of a worker to the start of its next process
@@ -36,7 +36,7 @@
 RESET_COUNT = 3
 RESET_INTERVAL_S = 0.3
 MIN_CORRUPTED_SHARE = 0.05
-MAX_EXTRA_CORRUPTED_SHARE = 0.1  # added to the minimum at full intensity
+MAX_EXTRA_CORRUPTED_SHARE = 0.1  # added to MIN_CORRUPTED_SHARE at full intensity
 
 CALL_FAILURES: Final = {
     "accept_failures": 0.3,
@@ -104,7 +104,7 @@
 async def send_signal_series(cluster: Cluster, router: RouterSlot, fault: Fault) -> None:
     """Move the endpoint log and send SIGHUP several times in a row.
 
-    At high intensity, then restart the router with SIGTERM, and send SIGHUP and SIGTERM while it drains.
+    At high intensity, then restart the router with SIGTERM; while it drains, send SIGHUP and another SIGTERM.
     """
     for _ in range(SIGHUP_COUNT):
         await reload_router(cluster, router, fault)
@@ -187,7 +187,7 @@
 
 
 async def corrupt_answers(_cluster: Cluster, slot: WorkerSlot, fault: Fault) -> None:
-    """Replace by noise, duplicate or truncate a share of what the worker sends."""
+    """Corrupt a share of what the worker sends: replace it by noise, duplicate it, or truncate it."""
     share = MIN_CORRUPTED_SHARE + MAX_EXTRA_CORRUPTED_SHARE * fault.intensity
     await slot.forward(corrupted_share=share)
     await asyncio.sleep(fault.duration_s)
@@ -223,7 +223,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterFault:
-    """A fault of individual routers; a router has at most one exclusive fault at a time, and any others."""
+    """A fault of individual routers. At most one exclusive fault, and any others, are active on a router."""
 
     inject: Callable[[Cluster, RouterSlot, Fault], Awaitable[None]]
     is_exclusive: bool = True
--- a/soak/history.py
+++ b/soak/history.py
@@ -18,13 +18,13 @@
 )
 from soak.run_record import RunRecord
 
-# Codes of worker answers which state that the request has not run.
+# The codes of worker answers that state that the request has not run.
 NEVER_RAN_CODES = (frames.NOT_LOADED, frames.QUEUE_FULL, frames.EXPIRED)
 
 
 @dataclass
 class RequestHistory:
-    """All observations of a request; `sent` is empty if no client has a record of sending it."""
+    """All observations of a request; `sent` is empty if no client recorded the request as sent."""
 
     request_id: str
     sent: list[RequestSent] = field(default_factory=list)
@@ -52,7 +52,7 @@
 
     @property
     def attempts_that_may_have_run(self) -> list[AttemptSeen]:
-        """Return the attempts, oldest first, except those that a worker answered without running them."""
+        """The attempts, oldest first, except those that a worker answered without running them."""
         attempts = [attempt for attempt in self.attempts if not self._has_never_run(attempt)]
         return sorted(attempts, key=lambda attempt: attempt.at)
 
@@ -92,7 +92,7 @@
 
     @property
     def requests(self) -> list[RequestHistory]:
-        """Return the requests that clients have recorded as sent."""
+        """The requests that clients have recorded as sent."""
         return [request for request in self._requests.values() if request.sent]
 
     def attempts_at(self, worker: int) -> list[AttemptSeen]:
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -10,7 +10,7 @@
 
 
 class FaultInjector:
-    """Tracks the targets of exclusive faults, and skips these targets when it injects another one."""
+    """Tracks the targets of exclusive faults, and injects no other exclusive fault into them."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
@@ -19,7 +19,7 @@
         self._is_log_outage_active = False
 
     async def inject(self, fault: Fault) -> None:
-        """Inject a fault into its targets, except reserved ones, and wait until it is over."""
+        """Inject a fault, and wait until it is over; an exclusive fault skips reserved targets."""
         match FAULTS[fault.kind]:
             case RouterFault(is_exclusive=True) as router_fault:
                 with _reserve(fault.routers, self._busy_routers) as routers:
--- a/soak/module_process.py
+++ b/soak/module_process.py
@@ -46,7 +46,7 @@
         """Read the next line of the process's output, which states the ports on which it listens.
 
         Raises:
-            ProcessStartError: The process exited without a line.
+            ProcessStartError: The process exited without printing a line.
             TimeoutError: The process printed no line for `START_TIMEOUT_S`.
         """
         assert self._process.stdout
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -80,8 +80,8 @@
         requests_per_s: Request rate of all clients together.
         function_count: Number of functions that clients call.
         faults: The faults, ordered by start time.
-        connections_per_router: Number of connections that clients open at least to each router in use.
-        log_outage_s: Duration of an outage of all endpoint logs; 0: a multiple of its fault's duration.
+        connections_per_router: Minimum number of connections that clients open to each router in use.
+        log_outage_s: Duration of an outage of all endpoint logs; if 0, a multiple of its fault's duration.
     """
 
     seed: int
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,8 +1,8 @@
 """The proxy between all routers and workers, which records frames for the checker and injects faults.
 
 The proxy listens on a port for each pair of a router and a worker slot, so that the port identifies the
-router that connects. Its first line on standard output states the ports by router and worker slot. It reads
-commands as JSON lines from standard input.
+router that connects. The first line on its standard output states the ports by router and worker slot. The
+proxy reads commands as JSON lines from standard input.
 """
 
 import asyncio
@@ -106,7 +106,7 @@
 
     @property
     def ports(self) -> list[list[int]]:
-        """Return the ports by router and worker slot."""
+        """The ports by router and worker slot."""
         return [[route.port for route in routes] for routes in self._routes]
 
     async def listen(self) -> None:
@@ -171,7 +171,7 @@
             reset(writer)  # passes the broken connection on to the router, instead of an orderly close
 
     def _corrupt(self, route: Route, data: bytes) -> bytes:
-        """For the corrupted share of reads, return noise, the data twice, or its first half."""
+        """Return the data or, for the corrupted share of reads, noise, the data twice, or its first half."""
         if random.random() >= self._commands[route.worker].corrupted_share:
             return data
         return random.choice((random.randbytes(len(data)), data + data, data[: len(data) // 2]))
--- a/soak/request_client.py
+++ b/soak/request_client.py
@@ -17,8 +17,8 @@
 from soak.worker import served_body
 
 NEW_CONNECTION_SHARE = 0.1  # share of requests that get a new connection though they could reuse one
-CANCEL_SHARE = 0.05  # share of requests that are cancelled if the answer takes long enough
-CLOSE_SHARE = 0.03  # share of requests whose connection is closed if the answer takes long enough
+CANCEL_SHARE = 0.05  # share of requests that are cancelled unless the answer arrives earlier
+CLOSE_SHARE = 0.03  # share of requests whose connection is closed unless the answer arrives earlier
 MIN_TIMEOUT_SHARE = 0.5  # minimum timeout, as a share of the site's longest timeout
 
 # A client abandons a request after a share of its timeout: the square of a random number up to this. Squaring
@@ -26,10 +26,10 @@
 MAX_ABANDON_ROOT = 0.5
 
 # If a connection ends this soon after a request was sent on it, the router may have closed it without reading
-# the request, so that the client retries once.
+# the request, so the client retries it once.
 CLOSE_RACE_S = 0.05
 
-ANSWER_GRACE_S = 1.0  # wait for an answer after the timeout or a cancellation
+ANSWER_GRACE_S = 1.0  # how long clients wait for an answer after the timeout or a cancellation
 MAX_BODY_BYTES = 2_000
 
 
@@ -52,12 +52,12 @@
 
     @property
     def timeout_s(self) -> float:
-        """Return the timeout in seconds."""
+        """The timeout in seconds."""
         return self.timeout_ms / 1000
 
     @property
     def fields(self) -> dict[str, str]:
-        """Return the fields of the request's message, by their names on the wire."""
+        """The fields of the request's message, by their names on the wire."""
         fields = {
             "op": self.class_name,
             "call": self.request_id,
@@ -72,7 +72,7 @@
 
 
 def draw_request(rng: random.Random, functions: list[str], weights: list[float]) -> GeneratedRequest:
-    """Draw a request at random, with a function by the weights."""
+    """Draw a random request; `weights` are the relative frequencies of the functions."""
     class_name = rng.choices(list(site.CLASS_SHARES), list(site.CLASS_SHARES.values()))[0]
     timeout_ms = int(site.MAX_TIMEOUT_MS * rng.uniform(MIN_TIMEOUT_SHARE, 1.0))
     return GeneratedRequest(
--- a/soak/request_rules.py
+++ b/soak/request_rules.py
@@ -12,7 +12,7 @@
 
 MAX_ANSWER_LATENESS_S = 0.5  # from the request's timeout to the answer
 MAX_AFTER_CLIENT_GONE_S = 0.1  # from a client's cancellation or close to the last attempt for it
-TIMEOUT_SLACK_S = 0.15  # excess of the timeout sent to a worker over the client's remaining time
+TIMEOUT_SLACK_S = 0.15  # by which the timeout sent to a worker may exceed the client's remaining time
 MAX_KILL_DETECTION_S = 1.0  # from a router's exit until clients stop sending requests to it
 KILL_MARGIN_S = 0.01  # tolerance between the recorded kill and the deadline of a request
 
@@ -48,7 +48,7 @@
 
 
 def _check_rejection(context: str, request: RequestHistory) -> Iterator[Violation]:
-    """Check that no at-most-once request is rejected that may have run, as clients may retry it."""
+    """Check that no at-most-once request that may have run is rejected, as clients may retry it then."""
     retry_safety = site.RETRY_SAFETY_BY_CLASS[request.sent[0].class_name]
     is_rejected = request.answers[0].kind is AnswerKind.THROTTLED
     may_have_run = request.attempts_that_may_have_run
@@ -57,7 +57,7 @@
 
 
 def _was_router_killed(sent: RequestSent, routers: Sequence[RouterIncarnation]) -> bool:
-    """Return whether a planned SIGKILL may have lost the request, which was pending or sent soon after it."""
+    """Return whether the request was pending at a planned SIGKILL of its router, or sent soon after it."""
     return any(
         router.router == sent.router
         and router.killed_at is not None
@@ -85,7 +85,7 @@
 
 
 def _check_retries(request: RequestHistory) -> Iterator[Violation]:
-    """Check that the class allows the number of attempts, and each one after the first that may have run."""
+    """Check the number of attempts, and that the class allows those after the first that may have run."""
     retry_safety = site.RETRY_SAFETY_BY_CLASS[request.sent[0].class_name]
     if len(request.attempts) > site.MAX_ATTEMPTS * len(request.sent):
         yield Violation(Rule.RETRY, f"{request.request_id}: {len(request.attempts)} attempts")
--- a/soak/router_slot.py
+++ b/soak/router_slot.py
@@ -19,7 +19,7 @@
 READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.02  # between two status requests
 EXIT_TIMEOUT_S = 30.0  # after SIGKILL
-# SIGKILL follows SIGTERM after the longest timeout of a request, but at most MAX_KILL_TIMEOUT_S, plus
+# The time from SIGTERM to SIGKILL is the longest timeout of a request, limited to MAX_KILL_TIMEOUT_S, plus
 # KILL_GRACE_S. `function_router.net.drain` relies on both values.
 MAX_KILL_TIMEOUT_S = 3.0
 KILL_GRACE_S = 0.7
@@ -53,7 +53,7 @@
 
     @property
     def incarnation(self) -> RouterIncarnation:
-        """Return the current incarnation or, while the router is down, the last one."""
+        """The current incarnation or, while the router is down, the last one."""
         return self.incarnations[-1]
 
     async def start(self) -> None:
--- a/soak/run_folder.py
+++ b/soak/run_folder.py
@@ -12,17 +12,17 @@
 
     @property
     def plan(self) -> Path:
-        """Return the path of the plan."""
+        """The path of the plan."""
         return self.path / "plan.json"
 
     @property
     def client_records(self) -> Path:
-        """Return the path of the clients' records."""
+        """The path of the clients' records."""
         return self.path / "clients.jsonl"
 
     @property
     def proxy_records(self) -> Path:
-        """Return the path of the proxy's records about the frames between routers and workers."""
+        """The path of the proxy's records about the frames between routers and workers."""
         return self.path / "proxy.jsonl"
 
     def router_config(self, router: int) -> Path:
--- a/soak/run_record.py
+++ b/soak/run_record.py
@@ -44,7 +44,8 @@
         started_at: When the process began to listen.
         is_in_slow_start: Whether it started during the run, so that routers have to give it a slow start.
         ready_notified_at: By router, the time from which it counts as notified that the worker is READY.
-        drain_notified_at: The same for the worker's drain; empty if it was not drained.
+        drain_notified_at: By router, the time from which it counts as notified of the worker's drain; empty
+            if the worker was not drained.
     """
 
     worker: int
--- a/soak/shim.c
+++ b/soak/shim.c
@@ -33,8 +33,8 @@
     double connect_failures;   /* calls of connect */
     double interrupted_calls;  /* calls of epoll_wait, reads, writes and connects, which return EINTR */
     double short_transfers;    /* reads and writes of messages, which transfer only a part */
-    double buffer_failures;    /* reads and writes, for which there is no memory */
-    double broken_connections; /* reads and writes on outgoing connections, which break */
+    double buffer_failures;    /* reads and writes, which fail for lack of memory */
+    double broken_connections; /* reads and writes that break an outgoing connection */
     double register_failures;  /* additions to an epoll instance */
     double open_failures;      /* attempts to open the configuration file */
 };
--- a/soak/traffic.py
+++ b/soak/traffic.py
@@ -20,7 +20,7 @@
         await self._change(ports=list(ports), requests_per_s=requests_per_s)
 
     async def stop(self) -> None:
-        """Start no more requests and bad clients."""
+        """Set the rates of requests and bad clients to 0."""
         await self._change(requests_per_s=0.0, bad_clients_per_s=0.0)
 
     async def set_request_rate(self, requests_per_s: float) -> None:
--- a/soak/worker.py
+++ b/soak/worker.py
@@ -38,7 +38,7 @@
 
     @property
     def start_kind(self) -> str:
-        """Return the start kind of a request that arrives now: whether it needs or joins a cold start."""
+        """The start kind of a request that arrives now, by whether it needs or joins a cold start."""
         if self.count:
             return frames.REUSED
         return frames.JOINED_START if self._starting else frames.STARTED
--- a/soak/worker_rules.py
+++ b/soak/worker_rules.py
@@ -57,7 +57,7 @@
 
 
 def _new_work(history: RunHistory, worker: int) -> list[tuple[float, int]]:
-    """Return the arrival times of the first bytes of new work at a worker slot, with its router; sorted."""
+    """Return the first byte's arrival time and the router of all new work at a slot, sorted by time."""
     work: list[AttemptSeen | StartOrderSeen] = [
         *history.attempts_at(worker),
         *history.start_orders_at(worker),
--- a/soak/worker_slot.py
+++ b/soak/worker_slot.py
@@ -29,16 +29,16 @@
 
     @property
     def incarnation(self) -> WorkerIncarnation:
-        """Return the current incarnation or, while there is none, the last one."""
+        """The current incarnation or, while there is none, the last one."""
         return self.incarnations[-1]
 
     @property
     def process(self) -> ModuleProcess:
-        """Return the process of the current incarnation."""
+        """The process of the current incarnation."""
         return self._processes[-1]
 
     def endpoint(self, phase: EndpointPhase) -> Endpoint:
-        """Return the current worker in the form of an endpoint event."""
+        """Return the state of the current worker for an endpoint event."""
         return Endpoint(self.incarnation.name, self.number, phase, self._started_at_ms)
 
     async def start(self, name: str, *, is_in_slow_start: bool) -> None:
--- a/tests/soak_test/test_checker.py
+++ b/tests/soak_test/test_checker.py
@@ -44,7 +44,7 @@
 
 
 def make_draining_worker(at):
-    """Return a worker without a slow start, of whose drain the router was notified at a time."""
+    """Return a worker without a slow start; the router was notified of its drain at the given time."""
     return WorkerIncarnation(WORKER, "s-0", 90.0, is_in_slow_start=False, drain_notified_at={ROUTER: at})
 
 
@@ -175,7 +175,7 @@
         (RouterIncarnation(ROUTER, 90.0, ready_at=101.0), Rule.NOT_READY),
         (RouterIncarnation(ROUTER, 90.0), Rule.NOT_READY),
     ],
-    ids=["exit unasked", "exit code", "late", "never ready"],
+    ids=["unrequested exit", "exit code", "late", "never ready"],
 )
 def test_failed_start_or_exit_of_a_router_is_found(check, incarnation, rule):
     assert check(incarnation=incarnation) == {rule}
--- a/tests/soak_test/test_command_line.py
+++ b/tests/soak_test/test_command_line.py
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def runs(monkeypatch):
-    """Replace the runs that the command line starts by fakes, and return these."""
+    """Make the command line use FakeRuns instead of real runs, and return it."""
     fake_runs = FakeRuns()
     monkeypatch.setattr(command_line, "_run", fake_runs.run)
     return fake_runs
--- a/tests/soak_test/test_endpoint_log.py
+++ b/tests/soak_test/test_endpoint_log.py
@@ -159,8 +159,8 @@
         pytest.param(lambda server: server.move(), 4.0, id="moved"),
         pytest.param(lambda server: server.stay_silent(0.0), 4.0, id="silent"),
         pytest.param(lambda server: server.refuse_connections(0.0), 2.0, id="broken"),
-        pytest.param(lambda server: server.fail(LogFailure.REFUSES, 0.0), 2.0, id="out of reach"),
-        pytest.param(lambda server: server.fail(LogFailure.TRICKLES, 0.0), 4.0, id="out of reach, open"),
+        pytest.param(lambda server: server.fail(LogFailure.REFUSES, 0.0), 2.0, id="refusing"),
+        pytest.param(lambda server: server.fail(LogFailure.TRICKLES, 0.0), 4.0, id="trickling"),
     ],
 )
 def test_log_fault_delays_the_time_when_a_router_counts_as_notified(with_log, fail, delay_s):
--- a/tests/soak_test/test_faults.py
+++ b/tests/soak_test/test_faults.py
@@ -136,9 +136,9 @@
 @pytest.mark.parametrize(
     ("kinds", "targets"),
     [
-        pytest.param([EXCLUSIVE, SHARED], ["router 1", "router 1"], id="shared on top of exclusive"),
-        pytest.param([SHARED, SHARED], ["router 1", "router 1"], id="shared on top of shared"),
-        pytest.param([SHARED, EXCLUSIVE], ["router 1", "router 1"], id="exclusive on top of shared"),
+        pytest.param([EXCLUSIVE, SHARED], ["router 1", "router 1"], id="shared during exclusive"),
+        pytest.param([SHARED, SHARED], ["router 1", "router 1"], id="shared during shared"),
+        pytest.param([SHARED, EXCLUSIVE], ["router 1", "router 1"], id="exclusive during shared"),
         pytest.param([EXCLUSIVE, ON_WORKERS], ["router 1", "worker 1"], id="router and worker"),
         pytest.param([EXCLUSIVE, ON_CLIENTS], ["router 1", "clients"], id="router and clients"),
     ],
