--- a/function_router/net/codecs/thrift_protocol.py
+++ b/function_router/net/codecs/thrift_protocol.py
@@ -63,7 +63,7 @@
     Attributes:
         seqid: Sequence number of the message; None if it cannot be read.
         kind: Kind of the application exception that answers the message.
-        method: Name of the called method; "handle" if the name cannot be read.
+        method: Name of the called method; "handle" for a malformed header or an oversized frame.
     """
 
     def __init__(self, text: str, seqid: int | None = None, kind: int = PROTOCOL_ERROR) -> None:
@@ -96,7 +96,7 @@
 
 
 class Status(Struct, frozen=True):
-    """The question whether the router is ready."""
+    """A status request, which asks whether the router is ready."""
 
     seqid: int
 
--- a/function_router/net/event_loop.py
+++ b/function_router/net/event_loop.py
@@ -127,7 +127,7 @@
             self._log(f"slow turn: {took_ms:.0f} ms for {len(ready)} sockets")
 
     def _poll(self, wait_s: float | None) -> ReadySockets:
-        """Wait until a socket is ready, and record the time of the poll.
+        """Wait until a socket is ready or the wait is over, and record the time of the poll.
 
         The time of a poll is taken before its system call, as SIGSTOP may stop the process while the call
         returns. After a long wait, this time is too imprecise, so the sockets are polled again without
@@ -149,7 +149,7 @@
         return ready
 
     def _start_turn(self) -> None:
-        """Set the turn's time from both clocks, and determine by how much the wall clock was set.
+        """Set the turn's time from both clocks, and the step of the wall clock since the previous poll.
 
         This is called after each poll, so a second poll in a turn replaces the turn's time.
         """
--- a/tests/soak_test/test_command_line.py
+++ b/tests/soak_test/test_command_line.py
@@ -33,10 +33,10 @@
 
 @pytest.fixture
 def runs(monkeypatch):
-    """Replace the runs that the command line starts by fakes, and return these."""
-    stub = FakeRuns()
-    monkeypatch.setattr(command_line, "_run", stub.run)
-    return stub
+    """Make the command line use FakeRuns instead of real runs, and return it."""
+    fake_runs = FakeRuns()
+    monkeypatch.setattr(command_line, "_run", fake_runs.run)
+    return fake_runs
 
 
 @pytest.fixture
