--- a/function_router/config/conversion.py
+++ b/function_router/config/conversion.py
@@ -43,7 +43,7 @@
 
 
 def transport_settings(section: SettingsSection) -> TransportSettings:
-    """Build the settings of the network layer."""
+    """Build the settings of the network code."""
     bounds = section.bounds
     family = section.family_info
     return TransportSettings(
--- a/function_router/config/errors.py
+++ b/function_router/config/errors.py
@@ -7,8 +7,8 @@
     """The configuration is invalid. The message has the form "KEY: PROBLEM".
 
     Attributes:
-        key: the path of the key in the JSON, or the name of the environment variable.
-        problem: why the value is invalid, with the allowed range if there is one.
+        key: The path of the key in the JSON, or the name of the environment variable.
+        problem: Why the value is invalid, with the allowed range if there is one.
     """
 
     def __init__(self, key: str, problem: str) -> None:
@@ -21,8 +21,8 @@
     """The configuration file could not be read. Another attempt may succeed.
 
     Attributes:
-        errno: the error number of the failed system call. The attribute has the same name as that of OSError,
-            so that callers can handle both alike.
+        errno: The error number of the failed system call. The attribute has the same name as that of OSError,
+            so that callers can handle both exceptions alike.
     """
 
     def __init__(self, key: str, problem: str, error_number: int | None) -> None:
--- a/function_router/config/loader.py
+++ b/function_router/config/loader.py
@@ -31,8 +31,8 @@
     """Load the configuration from a file and from environment variables.
 
     Args:
-        path: the file; by default, the one that ROUTER_CONFIG names.
-        environment: the environment variables.
+        path: The file; by default, the one that ROUTER_CONFIG names.
+        environment: The environment variables.
 
     Raises:
         UnreadableFileError: The file could not be read.
--- a/function_router/config/parsing.py
+++ b/function_router/config/parsing.py
@@ -26,9 +26,9 @@
     """Convert decoded JSON to a struct.
 
     Args:
-        data: the decoded JSON.
-        schema: the struct, from `config.schema`.
-        parent_key: the key of the data in the file; empty for the whole file.
+        data: The decoded JSON.
+        schema: The class of the struct, from `config.schema`.
+        parent_key: The key of the data in the file; empty for the whole file.
 
     Raises:
         ConfigurationError: A value has the wrong type or is out of range. The key of the error is the path of
@@ -45,7 +45,7 @@
 
 
 def _without_nulls(value: object) -> object:
-    """Remove the keys whose value is null, so that they take their defaults like absent keys."""
+    """Return a copy without the keys whose value is null: they take their defaults, like absent keys."""
     if isinstance(value, dict):
         return {key: _without_nulls(item) for key, item in value.items() if item is not None}
     if isinstance(value, list):
@@ -57,8 +57,8 @@
     """Parse `host:port` with a numeric IP address. Host names are rejected, as deployments have no DNS.
 
     Args:
-        text: the address.
-        key: the key that has this value, for error messages.
+        text: The address.
+        key: The key that has this value, for error messages.
 
     Raises:
         ConfigurationError: The text is not such an address.
--- a/function_router/config/schema.py
+++ b/function_router/config/schema.py
@@ -26,13 +26,13 @@
 SETTINGS_KEY = "settings"
 WHOLE_FILE_KEY = "configuration"  # not a key of the JSON: stands for the file as a whole in error messages
 
-# With fewer sockets, too few would remain for either the connections to workers or those of clients.
+# With fewer sockets, neither the connections to workers nor those of clients would get a useful share.
 MIN_SOCKETS = 32
 
-# Values of `weight_source` for which the size of an endpoint is that of its machine and never changes.
+# Values of `weight_source` with which the size of an endpoint is that of its machine and never changes.
 FIXED_WEIGHT_SOURCES = ("nominal", "rough")
 
-# Value of `not_loaded` for which a worker starts an instance for a request that finds none.
+# Value of `not_loaded` with which a worker starts an instance if a request finds none.
 START_ON_REQUEST = "load"
 
 
--- a/function_router/config/types.py
+++ b/function_router/config/types.py
@@ -11,7 +11,7 @@
 
 
 class TransportSettings(Struct, frozen=True):
-    """Settings of the network layer."""
+    """Settings of the network code."""
 
     connect_timeout_ms: float = 250.0
     keepalive_ms: float = 15_000.0
@@ -19,9 +19,9 @@
     max_pending_requests: int = 20_000
     max_retry_after_ms: float = 0.0  # maximum retry-after delay sent to a client; 0: none may be sent
     start_order_timeout_ms: float = 10_000.0
-    reports_in_flight: bool = False  # workers report their number of requests in flight
-    may_preconnect: bool = True  # connections may be opened before a request needs them
-    tenants: frozenset[str] = frozenset()  # their names; empty: the deployment has no tenants
+    reports_in_flight: bool = False  # whether workers report their number of requests in flight
+    may_preconnect: bool = True  # whether connections may be opened before requests need them
+    tenants: frozenset[str] = frozenset()  # names of the tenants; empty: the deployment has none
 
 
 class RouterConfig(Struct, frozen=True):
@@ -30,7 +30,7 @@
     name: str  # for log lines; may be empty
     listen: Address  # address for clients; with port 0, the system chooses a port
     endpoint_log: Address
-    seed: int  # seeds the random choices of the decision module and the exchange ids
+    seed: int  # seed of the random choices of the decision module and of the exchange ids
     memory_mb: int
     max_sockets: int  # maximum number of file descriptors for sockets
     initial_sequence: int  # sequence number of the last known event of the endpoint log
--- a/function_router/errors.py
+++ b/function_router/errors.py
@@ -2,4 +2,4 @@
 
 
 class FunctionRouterError(Exception):
-    """Base class; the message of each subclass says what failed and where."""
+    """An exception of this package. The message says what failed and where."""
--- a/function_router/server.py
+++ b/function_router/server.py
@@ -20,7 +20,7 @@
     """Serve until SIGTERM.
 
     Args:
-        path: the configuration file; by default, the file that ROUTER_CONFIG names.
+        path: The configuration file; by default, the file that ROUTER_CONFIG names.
 
     Returns:
         The exit status: 0 after SIGTERM, once all admitted requests are answered; 2 if the configuration is
--- a/function_router/simulator_adapter.py
+++ b/function_router/simulator_adapter.py
@@ -1,8 +1,8 @@
-"""Runs the decision modules of simulated routers, and talks to the simulator over standard input and output.
+"""Runs the decision module for simulated routers; the simulator uses standard input and standard output.
 
 Run as ``python -m function_router.simulator_adapter``. Each line of standard input is a batch of messages in
 JSON. The adapter answers each batch with one line of JSON on standard output.
-`function_router.simulator_codec` converts the messages in both.
+`function_router.simulator_codec` converts the messages in batches and replies.
 """
 
 import gc
@@ -53,7 +53,7 @@
     """Hosts one `Router` for each simulated router. The routers share no state.
 
     Attributes:
-        routers: the running routers by their id.
+        routers: The running routers by their id.
     """
 
     def __init__(self) -> None:
@@ -77,7 +77,11 @@
         return json.dumps({ROUTER_BATCHES: replies}, separators=COMPACT_SEPARATORS)
 
     def _answer_router(self, router_id: int, now_ms: float, messages: list[Any]) -> list[JsonObject]:
-        """Process the messages of one router; the events between two restarts form one batch for it."""
+        """Process the messages of one router and return its replies.
+
+        The router handles its events as one batch. If it is restarted in between, the events before and after
+        the restart are separate batches.
+        """
         replies: list[JsonObject] = []
         events: list[Event] = []
         for message in messages:
--- a/function_router/simulator_codec.py
+++ b/function_router/simulator_codec.py
@@ -117,7 +117,11 @@
 
 
 def read_endpoints(body: JsonObject) -> EndpointsChanged | None:
-    """Decode the endpoint list or its changes; None if it is unavailable: the previous list stays valid."""
+    """Decode the endpoint list or its changes.
+
+    Returns:
+        The event; None if the list is unavailable, in which case the previous list stays valid.
+    """
     kind = body.get(LIST_KIND) or CHANGES_ONLY
     if kind == LIST_UNAVAILABLE:
         return None
@@ -126,7 +130,7 @@
 
 
 def read_request(body: JsonObject) -> RequestArrived:
-    """Decode a request of a client."""
+    """Decode the arrival of a request."""
     flags = body.get(REQUEST_FLAGS) or 0
     return RequestArrived(
         request_id=body[REQUEST_ID],
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -26,7 +26,7 @@
     """Mark the listed tests as strict expected failures.
 
     Raises:
-        UnknownTestsError: The run has all tests, but none with a listed name.
+        UnknownTestsError: The run includes all tests, and a listed test is not among them.
     """
     known_red = read_known_red(config.rootpath)
     for item in items:
--- a/tests/helpers/decision_harness.py
+++ b/tests/helpers/decision_harness.py
@@ -24,7 +24,7 @@
 )
 AT_MOST_ONCE = RequestClass("at-most-once", 1000.0, 4000.0, RetrySafety.AT_MOST_ONCE)
 
-TIMER_STEP_MS = 20  # interval of the timer events, shorter than the router requests
+TIMER_STEP_MS = 20  # interval of the timer events; the router requests longer ones
 ATTEMPT_DURATION_MS = 100.0  # duration that is reported for each attempt
 
 MANY_ROUTERS_WORKERS = 20  # number of workers that the routers of `many_routers` share
@@ -172,23 +172,23 @@
         return self.router.fleet
 
     def worker(self, worker_id):
-        """The router's record of a worker."""
+        """Return the router's record of a worker."""
         return self.fleet.workers.by_id[worker_id]
 
     def function(self, name):
-        """The router's record of a function."""
+        """Return the router's record of a function."""
         return self.fleet.functions.by_name[name]
 
     def zone_of(self, worker_id):
-        """The zone of a worker."""
+        """Return the zone of a worker."""
         return self.endpoints[worker_id - 1].zone
 
     def logged(self, *kinds):
-        """The log entries of all actions of these kinds."""
+        """Return the log entries of all actions of these kinds."""
         return [entry for entry in self.action_log if isinstance(entry.action, kinds)]
 
     def all_actions(self):
-        """All actions of the log, without their times."""
+        """Return all actions of the log, without their times."""
         return [entry.action for entry in self.action_log]
 
 
--- a/tests/helpers/fake_client.py
+++ b/tests/helpers/fake_client.py
@@ -39,7 +39,7 @@
             del self.data[:frame_size]
 
     def _complete_frame_size(self):
-        """The size of the first frame, including its length field; None if the frame is not complete yet."""
+        """Return the size of the first frame with its length field; None if the frame is not complete yet."""
         if len(self.data) < FRAME_LENGTH_BYTES:
             return None
         [message_size] = struct.unpack_from(">I", self.data)
@@ -59,7 +59,7 @@
         return self._last_seqid
 
     def send_unsent(self, max_bytes=None):
-        """Send the unsent bytes of the last request, or at most `max_bytes` of them."""
+        """Send the unsent bytes of the last request, or only the next `max_bytes` of them."""
         size = len(self._unsent) if max_bytes is None else max_bytes
         self.sock.sendall(self._unsent[:size])
         self._unsent = self._unsent[size:]
@@ -73,5 +73,5 @@
         self.sock.sendall(encode_status_request(seqid))
 
     def answer_kinds(self):
-        """The kinds of the received answers by sequence number."""
+        """Return the kinds of the received answers by sequence number."""
         return {answer.seqid: answer.kind for answer in self.answers}
--- a/tests/helpers/fake_clock.py
+++ b/tests/helpers/fake_clock.py
@@ -2,7 +2,7 @@
 
 
 class FakeMonotonicClock:
-    """A clock that the test sets (`now_ms`) or advances. The code under test gets the method `read_ms`."""
+    """A clock that the test sets (`now_ms`) or advances. The code under test calls `read_ms`."""
 
     def __init__(self, now_ms=0.0):
         self.now_ms = now_ms
--- a/tests/helpers/fake_endpoint_log.py
+++ b/tests/helpers/fake_endpoint_log.py
@@ -9,7 +9,7 @@
     """An endpoint log that sends only the lines that the test passes to it."""
 
     def requests(self):
-        """The words of the request on each connection that has received one, such as `["since", "1"]`."""
+        """Return the words of each received request, such as `["since", "1"]`, in connection order."""
         return [bytes(connection.data).decode().split() for connection in self.connections if connection.data]
 
     def send_line(self, line, connection_index=-1):
--- a/tests/helpers/fake_worker.py
+++ b/tests/helpers/fake_worker.py
@@ -50,13 +50,13 @@
             self.answer(received, fields=f"slots_up={self.instances}")
 
     def answer(self, received, code=worker_frames.OK, fields="res=reused", body=b""):
-        """Answer a frame on its connection; by default, as for a request that a warm instance served."""
+        """Answer a frame on its connection; by default, a warm instance has served the request."""
         exchange_id = received.frame.exchange_id
         data = worker_frames.encode(code, exchange_id, fields, body, worker_frames.FROM_WORKER)
         received.connection.sock.sendall(data)
 
     def received(self, code):
-        """The received frames with this code, in order."""
+        """Return the received frames with this code, in order."""
         return [received for received in self.frames if received.frame.code == code]
 
     @property
--- a/tests/helpers/known_red.py
+++ b/tests/helpers/known_red.py
@@ -27,7 +27,7 @@
 
 
 def read_known_red(root):
-    """Read the causes by node id; empty if the file does not exist.
+    """Return the causes by node id; none if the file does not exist.
 
     Raises:
         InvalidKnownRedError: The file is invalid.
@@ -37,7 +37,7 @@
 
 
 def parse_known_red(text):
-    """Parse the causes, each with its issue, by node id.
+    """Return the causes, each with its issue, by node id.
 
     Raises:
         InvalidKnownRedError: There are too many lines, or a line lacks a part.
--- a/tests/helpers/lease_harness.py
+++ b/tests/helpers/lease_harness.py
@@ -28,7 +28,7 @@
 
     @property
     def leases(self):
-        """The leases, which are the component under test."""
+        """The endpoint leases, the component under test."""
         return self.fleet.leases
 
     def confirm_list(self):
@@ -50,10 +50,10 @@
 
 
 def checked(actions):
-    """The workers to which health checks are sent."""
+    """Return the ids of the workers to which health checks are sent."""
     return [action.worker_id for action in actions_of(actions, CheckHealth)]
 
 
 def sent_to(actions):
-    """The workers to which attempts are sent."""
+    """Return the ids of the workers to which attempts are sent."""
     return [action.worker_id for action in actions_of(actions, SendRequest)]
--- a/tests/helpers/process_harness.py
+++ b/tests/helpers/process_harness.py
@@ -77,7 +77,7 @@
         return self.router_process.table
 
     def connections_to(self, worker_id=UNLISTED_WORKER_ID):
-        """The connections to a worker."""
+        """Return the connections to a worker."""
         return list(self.pool.workers[worker_id].connections)
 
     def only_client_connection(self):
@@ -113,7 +113,7 @@
     # --- actions ----------------------------------------------------------------------------------
 
     def run_until(self, condition, description="the condition holds"):
-        """Run turns of the event loop and let the peers receive until a condition holds."""
+        """Alternate turns of the event loop with reads of the peers until a condition holds."""
         deadline_s = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
             assert time.monotonic() < deadline_s, f"timed out waiting until {description}"
--- a/tests/helpers/serving_worker.py
+++ b/tests/helpers/serving_worker.py
@@ -30,7 +30,7 @@
         is_unresponsive: Whether the worker neither reads nor answers anything.
         has_instances: Whether an instance is running; if not, the next request starts one.
         new_work: The received new work, in order.
-        health_checks: When health checks were read, on the monotonic clock.
+        health_checks: When health checks were read, in seconds on the monotonic clock.
     """
 
     def __init__(self, name):
@@ -47,19 +47,19 @@
             super().receive()
 
     def stop(self):
-        """Close the listener and all connections, as the end of the process does."""
+        """Close the listener and all connections, as the end of a worker's process does."""
         self.close()
         self.connections.clear()
 
     def restart(self):
-        """Listen at the same address again, as a new process."""
+        """Listen at the same address again, as a new process of the worker does."""
         self.listener = socket.create_server(self.address)
         self.listener.setblocking(False)
         self.is_draining = False
         self.has_instances = False
 
     def new_work_after(self, at_s):
-        """The new work that was read after this time."""
+        """Return the new work that was read after this time."""
         return [work for work in self.new_work if work.at_s > at_s]
 
     def _on_frame(self, received):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def run_pytest_with_known_red(tmp_path):
-    """A function that runs a failing and a passing test with this repository's conftest.py and a list."""
+    """A function that runs a failing and a passing test with the conftest.py of the repository and a list."""
     (tmp_path / "tests").mkdir()
     shutil.copy(TESTS / "conftest.py", tmp_path / "tests")
     (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -49,7 +49,7 @@
 
 
 def assert_served_from_sequence_1_until_sigterm(launcher, program):
-    """Check that the program requests the events after number 1 from the last log, and exits on SIGTERM."""
+    """Check that the program requests events after number 1 from the newest log, and exits on SIGTERM."""
     while not launcher.endpoint_log.requests():
         launcher.endpoint_log.receive()
     assert launcher.endpoint_log.requests() == [["since", "1"]]
@@ -196,7 +196,7 @@
     for number in range(80):
         client = connect(address)
         clients.append(client)
-        if number % 2:  # half of the clients stay connected after an answered status request
+        if number % 2:  # half of the clients get a status answer; none closes its connection
             client.request_status()
             launcher.receive_until(client, lambda client=client: client.answers)
 
--- a/tests/test_stale_endpoint_list.py
+++ b/tests/test_stale_endpoint_list.py
@@ -30,7 +30,7 @@
 DRAIN_DELAY_S = 0.5  # between the failure of the log and the drain
 MAX_LOST_SHARE = 0.05  # maximum decrease of the served share of requests during the outage
 POLL_S = 0.001
-ANSWER_WAIT_S = 0.5
+ANSWER_WAIT_S = 0.5  # wait for the answers to the last requests
 MAX_CHECKS_PER_S = 1.5  # for each worker
 TIMEOUT_MS = "400"
 
@@ -39,7 +39,7 @@
     """A router process, its endpoint log, two workers, and a client that sends requests at a fixed rate."""
 
     def __init__(self, launcher, exit_stack, log_fault=None, **settings):
-        """Start the router.
+        """Start the router and its peers, and connect the client.
 
         Args:
             launcher: Starts the router process.
@@ -87,7 +87,7 @@
         self.sent_at_s[self.client.send_request(row=function, ttl=TIMEOUT_MS)] = now_s
 
     def served_share(self, since_s, until_s):
-        """The served share of the requests that were sent in this interval."""
+        """Return the served share of the requests that were sent in this interval."""
         kinds = self.client.answer_kinds()
         sent = [seqid for seqid, at_s in self.sent_at_s.items() if since_s <= at_s < until_s]
         return sum(kinds.get(seqid) is AnswerKind.ANSWER for seqid in sent) / len(sent)
