--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -91,12 +91,12 @@
 
 
 @pytest.mark.parametrize(
-    "event",
+    "endpoint_list",
     [None, [], {"members": [{"id": "s"}]}, {"members": [{"id": "s", "phase": "asleep"}]}],
 )
-def test_invalid_endpoint_list_is_reported_as_fleet(event):
+def test_invalid_endpoint_list_is_reported_as_fleet(endpoint_list):
     with pytest.raises(ConfigurationError, match=r"^fleet"):
-        parse_endpoint_list(event)
+        parse_endpoint_list(endpoint_list)
 
 
 @pytest.mark.parametrize(
