--- a/function_router/config/conversion.py
+++ b/function_router/config/conversion.py
@@ -29,7 +29,7 @@
         can_hedge=bounds.second_copies,
         max_attempts=bounds.max_attempts,
         max_retry_after_ms=_max_retry_after_ms(bounds),
-        keep_alive_ms=family.idle_life,
+        instance_keep_alive_ms=family.idle_life,
         starts_on_request=family.not_loaded == START_ON_REQUEST,
         start_order_window_ms=family.load_window,
         start_order_burst=family.free_loads,
--- a/function_router/decisions/arrivals.py
+++ b/function_router/decisions/arrivals.py
@@ -30,12 +30,12 @@
 
     def record(self, event: RequestArrived, now_ms: float) -> None:
         """Count a request."""
-        self.recent.setdefault(event.client_id or event.request_id, now_ms - event.age_ms)
+        self.recent.setdefault(event.client_request_id or event.request_id, now_ms - event.age_ms)
         self.count += 1
 
     def cancel(self, event: RequestCancelled) -> None:
         """Remove a cancelled request from the recent rate, as it must not raise the rate limit on starts."""
-        self.recent.pop(event.client_id or event.request_id, None)
+        self.recent.pop(event.client_request_id or event.request_id, None)
 
     def drop_old(self, now_ms: float) -> None:
         """Drop the arrivals that have left the window."""
--- a/function_router/decisions/circuit_breakers.py
+++ b/function_router/decisions/circuit_breakers.py
@@ -31,8 +31,8 @@
             return False
         ready = self._workers.ready
         breakers = (other.breakers[class_name] for other in ready if class_name in other.breakers)
-        open_count = sum(other.has_open_time_left(now_ms) for other in breakers)
-        return open_count * 2 <= len(ready)
+        open_time_left_count = sum(other.has_open_time_left(now_ms) for other in breakers)
+        return open_time_left_count * 2 <= len(ready)
 
     def is_tripped(self, worker: Worker, class_name: str) -> bool:
         """Return whether the breaker of a class at a worker is tripped, that is, open or half-open."""
--- a/function_router/decisions/dispatch.py
+++ b/function_router/decisions/dispatch.py
@@ -114,7 +114,7 @@
             return None
         beyond_bound = []
         for worker in self._placement.candidates(function, request, now_ms):
-            if not self._scaling.has_free_slot_or_probe(request, worker, now_ms):
+            if not self._scaling.check_free_slot(request, worker, now_ms):
                 continue
             if not self._may_send_to(request, worker, limit_fraction, now_ms):
                 continue
@@ -155,7 +155,7 @@
             request.request_class.name,
             now_ms,
             is_unloaded=worker.in_flight < LOADED_AT_IN_FLIGHT,
-            candidate_count=max(1, sum(other.id in function.pools for other in first_in_hash_order)),
+            preferred_pool_count=max(1, sum(other.id in function.pools for other in first_in_hash_order)),
         )
         pool = function.pool_at(worker)
         self._requests.add_attempt(request, attempt)
--- a/function_router/decisions/endpoint_leases.py
+++ b/function_router/decisions/endpoint_leases.py
@@ -154,7 +154,7 @@
         """Return whether the lease on the list or that of the worker is valid."""
         return self.is_list_current(now_ms) or now_ms < self._expires_ms(worker)
 
-    def latest_connection_ms(self, worker_id: int, now_ms: float) -> float:
+    def connection_cutoff_ms(self, worker_id: int, now_ms: float) -> float:
         """Return the time by which a connection must have been established to carry new work to a worker now.
 
         Later connections may lead to another process than the one that answered the health check.
--- a/function_router/decisions/events.py
+++ b/function_router/decisions/events.py
@@ -49,7 +49,7 @@
     memory_mb: float | None = None  # memory of an instance
     expected_start_ms: float | None = None  # typical duration of a cold start
     expected_run_ms: float | None = None  # typical duration of a run
-    client_id: str = ""  # the client's id of the request; a client's retry carries the same id
+    client_request_id: str = ""  # the client's id of the request; a client's retry carries the same id
     age_ms: float = 0.0  # time since the arrival
 
 
@@ -57,7 +57,7 @@
     """The client of a request no longer waits, so the router owes it no answer."""
 
     request_id: str
-    client_id: str = ""
+    client_request_id: str = ""
 
 
 class AttemptEnded(Struct, frozen=True):
--- a/function_router/decisions/feedback.py
+++ b/function_router/decisions/feedback.py
@@ -70,7 +70,7 @@
     def _record_in_flight(self, attempt: Attempt, in_flight: int) -> None:
         """Estimate a function's requests in flight at all workers from the number at one worker."""
         function = attempt.function
-        at_all_workers = in_flight * attempt.candidate_count
+        at_all_workers = in_flight * attempt.preferred_pool_count
         function.estimated_in_flight += IN_FLIGHT_GAIN * (at_all_workers - function.estimated_in_flight)
 
     def record_report(
--- a/function_router/decisions/instances.py
+++ b/function_router/decisions/instances.py
@@ -36,7 +36,7 @@
     """Reads and updates the instance pools."""
 
     def __init__(self, settings: Settings, capacity: Capacity) -> None:
-        self._keep_alive_ms = settings.keep_alive_ms
+        self._instance_keep_alive_ms = settings.instance_keep_alive_ms
         self._can_probe = settings.can_order_starts
         self._capacity = capacity
 
@@ -48,7 +48,7 @@
         if pool.last_seen_ms <= (worker.latest_start_ms or -math.inf):
             return 0
         if pool.in_flight == 0:
-            ttl_ms = SHARED_INSTANCE_TTL_MS if self._capacity.many_routers else self._keep_alive_ms
+            ttl_ms = SHARED_INSTANCE_TTL_MS if self._capacity.many_routers else self._instance_keep_alive_ms
             if now_ms - pool.last_seen_ms > ttl_ms:
                 return 0
         return pool.count
--- a/function_router/decisions/placement.py
+++ b/function_router/decisions/placement.py
@@ -27,7 +27,7 @@
 # A worker has no headroom if it got more than this multiple of its fair share of the router's sends in the
 # statistics window. Up to the minimum number of sends, the share is not considered.
 SEND_SHARE_FACTOR = 1.3
-MIN_SEND_SHARE = 0.5
+MIN_SENDS = 0.5
 
 # For a warm function, other workers are probed only above this multiple of the fair share, because many
 # workers exceed the lower factor by sampling noise alone.
@@ -113,7 +113,7 @@
         """Return whether a worker is neither slow nor silent nor above `factor` times its share of sends."""
         capacity = self._capacity
         fair_share = self.sends.value(now_ms) * capacity.size(worker, now_ms) / capacity.total_size
-        if worker.sends.value(now_ms) > max(MIN_SEND_SHARE, factor * fair_share):
+        if worker.sends.value(now_ms) > max(MIN_SENDS, factor * fair_share):
             return False
         return self._health.is_preferable(worker, now_ms)
 
@@ -157,7 +157,7 @@
         The demand is the greater of two estimates of the requests in flight from all routers. One is derived
         by Little's law from the arrivals at this router, the other from the numbers that workers report.
         """
-        function.estimated_in_flight *= function.arrivals.decay(now_ms)
+        function.estimated_in_flight *= function.arrivals.decay_factor(now_ms)
         since_ms = self._arrivals.observed_since_ms
         own_rate = function.arrivals.rate(now_ms, since_ms, MIN_RATE_INTERVAL_MS)
         rate = own_rate * self._capacity.router_count
--- a/function_router/decisions/records.py
+++ b/function_router/decisions/records.py
@@ -140,7 +140,7 @@
     class_name: str
     sent_ms: float
     is_unloaded: bool  # its worker had few requests in flight when the attempt was sent
-    candidate_count: int  # workers with a pool among the first `fanout` in hash order, at least 1
+    preferred_pool_count: int  # workers with a pool among the first `fanout` in hash order, at least 1
     in_flight: bool = True
     is_lost: bool = False  # presumed lost, and counted as a failure of its worker
     may_have_run: bool = True  # False once the outcome proves that the request did not run
--- a/function_router/decisions/router.py
+++ b/function_router/decisions/router.py
@@ -116,13 +116,13 @@
         """Return whether the lease on the endpoint list is valid."""
         return self.fleet.leases.is_list_current(now_ms)
 
-    def latest_connection_ms(self, worker_id: int, now_ms: float) -> float:
+    def connection_cutoff_ms(self, worker_id: int, now_ms: float) -> float:
         """Return the time by which a connection must have been established to carry new work to a worker now.
 
         Returns:
             The time; infinity if every connection may carry new work, minus infinity if none may.
         """
-        return self.fleet.leases.latest_connection_ms(worker_id, now_ms)
+        return self.fleet.leases.connection_cutoff_ms(worker_id, now_ms)
 
     def is_within_drain_grace(self, worker_id: int, at_ms: float) -> bool:
         """Return whether new work that was sent at `at_ms` kept the drain grace, for run-time checks."""
--- a/function_router/decisions/scaling.py
+++ b/function_router/decisions/scaling.py
@@ -125,7 +125,7 @@
         elif may_start and self._start_orders.can_start_at(function, worker, now_ms, is_speculative=is_warm):
             self._start_orders.order_if_lease_valid(function, worker, now_ms, is_speculative=is_warm)
 
-    def has_free_slot_or_probe(self, request: Request, worker: Worker, now_ms: float) -> bool:
+    def check_free_slot(self, request: Request, worker: Worker, now_ms: float) -> bool:
         """Return whether a worker has a free slot for a request. Probe the worker if this is uncertain."""
         state = self._instances.slot_state(request, worker, now_ms)
         if state is not SlotState.UNVERIFIED:
--- a/function_router/decisions/start_order_limits.py
+++ b/function_router/decisions/start_order_limits.py
@@ -28,7 +28,7 @@
             maximum=MAX_PENDING_ORDERS,
             decrease=PENDING_ORDERS_DECREASE,
         )
-        self.sent = SlidingWindow()  # when start orders count: at the decision, or at a late send
+        self.counted = SlidingWindow()  # when start orders count: at the decision, or at a late send
 
     def allows_order(self, now_ms: float) -> bool:
         """Return whether one more start order may be sent now."""
@@ -41,16 +41,16 @@
         window_ms = settings.start_order_window_ms
         # An order counts from its decision, but may be sent up to the maximum delay later, so it is kept for
         # that much longer.
-        self.sent.remove_before(now_ms - window_ms - settings.tick_ms - MAX_START_ORDER_DELAY_MS)
+        self.counted.remove_before(now_ms - window_ms - settings.tick_ms - MAX_START_ORDER_DELAY_MS)
         self._arrivals.drop_old(now_ms)
         requests = len(self._arrivals.recent)
         allowed = settings.start_order_burst + settings.start_orders_per_request * requests
-        return window_ms > 0 and len(self.sent) + 1 > allowed
+        return window_ms > 0 and len(self.counted) + 1 > allowed
 
     def record_order(self, now_ms: float) -> None:
         """Count a start order that is sent now."""
         self._pending += 1
-        self.sent.add(now_ms)
+        self.counted.add(now_ms)
 
     def record_end(self) -> None:
         """Count a start order as no longer pending."""
@@ -60,8 +60,8 @@
         """Check an order again if it is sent long after its decision; see `Router.revalidate_start_order`."""
         if now_ms - counted_ms <= MAX_START_ORDER_DELAY_MS:
             return counted_ms
-        self.sent.discard(counted_ms)
+        self.counted.discard(counted_ms)
         if self._is_rate_limited(now_ms):
             return None
-        self.sent.add(now_ms)
+        self.counted.add(now_ms)
         return now_ms
--- a/function_router/net/connection_set.py
+++ b/function_router/net/connection_set.py
@@ -44,22 +44,22 @@
 
     # --- choice of a connection ---------------------------------------------------------------
 
-    def choose(self, exchange: Exchange, latest_connection_ms: float) -> WorkerConnection | None:
+    def choose(self, exchange: Exchange, connection_cutoff_ms: float) -> WorkerConnection | None:
         """Choose the connection for an exchange; return None if no connection may be used.
 
-        Connections that were established after `latest_connection_ms`, on the monotonic clock, are excluded.
+        Connections that were established after `connection_cutoff_ms`, on the monotonic clock, are excluded.
 
         An idle connection that the worker has closed is closed here instead of being used. Bytes written to
         it would be lost, but the router could not know whether the request has run. It could then not retry
         a request that must not run twice.
         """
-        while (chosen := self._best_connection(exchange, latest_connection_ms)) is not None:
+        while (chosen := self._best_connection(exchange, connection_cutoff_ms)) is not None:
             if chosen.exchanges or not chosen.has_reached_end_of_stream():
                 return chosen
             chosen.close(CloseReason.CLOSED_BY_PEER)
         return None
 
-    def _best_connection(self, exchange: Exchange, latest_connection_ms: float) -> WorkerConnection | None:
+    def _best_connection(self, exchange: Exchange, connection_cutoff_ms: float) -> WorkerConnection | None:
         """Return the usable connection with the fewest exchanges, if possible a responsive one.
 
         A health check gets the oldest connection, which shows best whether the process is still the same.
@@ -67,7 +67,7 @@
         candidates = [
             connection
             for connection in self._usable_connections(exchange.exchange_id)
-            if connection.established_at_ms <= latest_connection_ms
+            if connection.established_at_ms <= connection_cutoff_ms
         ]
         if isinstance(exchange, HealthCheck):
             return min(candidates, key=lambda connection: connection.established_at_ms, default=None)
--- a/function_router/net/pooled_worker.py
+++ b/function_router/net/pooled_worker.py
@@ -121,9 +121,9 @@
         if not_sent_reason := check_worker(exchange, self.state):
             exchange.finish_unsent(not_sent_reason, telemetry)
             return
-        latest_connection_ms = self._latest_connection_ms(exchange)
-        connection = self.connections.choose(exchange, latest_connection_ms)
-        if connection is None and latest_connection_ms < math.inf:
+        connection_cutoff_ms = self._connection_cutoff_ms(exchange)
+        connection = self.connections.choose(exchange, connection_cutoff_ms)
+        if connection is None and connection_cutoff_ms < math.inf:
             exchange.finish_unsent(NotSentReason.READINESS_UNPROVEN, telemetry)
         elif connection is None:
             self.queue.append(exchange)
@@ -133,14 +133,14 @@
         else:
             self._assign(exchange, connection)
 
-    def _latest_connection_ms(self, exchange: Exchange) -> float:
+    def _connection_cutoff_ms(self, exchange: Exchange) -> float:
         """Return the latest time at which a connection that may carry the exchange was established.
 
         The time is infinite if any connection may carry the exchange.
         """
         if not exchange.is_new_work:
             return math.inf
-        return self._resources.readiness.latest_connection_ms(self.worker_id)
+        return self._resources.readiness.connection_cutoff_ms(self.worker_id)
 
     def _assign(self, exchange: Exchange, connection: WorkerConnection) -> None:
         """Assign an exchange to a connection, and open a spare connection for the next exchange if needed.
--- a/function_router/net/readiness.py
+++ b/function_router/net/readiness.py
@@ -9,7 +9,7 @@
 class ReadinessPolicy(Protocol):
     """Decides which workers may get new work, and when; all times are on the decision module's clock."""
 
-    def latest_connection_ms(self, worker_id: int, now_ms: float) -> float:
+    def connection_cutoff_ms(self, worker_id: int, now_ms: float) -> float:
         """Return the latest time at which a connection that may carry new work now was established.
 
         The result is infinite if any connection to the worker may carry new work, and negative infinite if
@@ -23,7 +23,7 @@
 class AlwaysReady:
     """The policy of a pool without a decision module."""
 
-    def latest_connection_ms(self, worker_id: int, now_ms: float) -> float:  # noqa: ARG002 (of the protocol)
+    def connection_cutoff_ms(self, worker_id: int, now_ms: float) -> float:  # noqa: ARG002 (of the protocol)
         """Return infinity, as any connection may carry new work."""
         return math.inf
 
@@ -42,10 +42,10 @@
         self._clock = clock
         self._policy = policy
 
-    def latest_connection_ms(self, worker_id: int) -> float:
+    def connection_cutoff_ms(self, worker_id: int) -> float:
         """Return the latest time at which a connection that may carry new work now was established."""
         now_ms = self._clock.from_monotonic_ms(monotonic_ms())
-        return self._clock.to_monotonic_ms(self._policy.latest_connection_ms(worker_id, now_ms))
+        return self._clock.to_monotonic_ms(self._policy.connection_cutoff_ms(worker_id, now_ms))
 
     def is_within_drain_grace(self, worker_id: int, written_at_ms: float) -> bool:
         """Return whether new work that was written at `written_at_ms` was within the drain grace."""
--- a/function_router/net/request_table.py
+++ b/function_router/net/request_table.py
@@ -105,7 +105,7 @@
                 concurrency=invocation.concurrency,
                 memory_mb=invocation.memory_mb,
                 expected_start_ms=invocation.expected_start_ms,
-                client_id=invocation.request_id.hex(),
+                client_request_id=invocation.request_id.hex(),
                 age_ms=client_request.age_ms,
             )
         )
--- a/function_router/net/send_checks.py
+++ b/function_router/net/send_checks.py
@@ -32,7 +32,7 @@
 
 
 def check_readiness(
-    exchange: Exchange, connected_at_ms: float, latest_connection_ms: float
+    exchange: Exchange, connected_at_ms: float, connection_cutoff_ms: float
 ) -> NotSentReason | None:
     """Return why an exchange must not be sent on a connection; None if it may be sent.
 
@@ -41,10 +41,10 @@
     Args:
         exchange: The exchange.
         connected_at_ms: When the connection was established.
-        latest_connection_ms: The latest time at which a connection to a process that is known to be ready was
+        connection_cutoff_ms: The latest time at which a connection to a process that is known to be ready was
             established; see `function_router.net.readiness`.
     """
-    if exchange.is_new_work and connected_at_ms > latest_connection_ms:
+    if exchange.is_new_work and connected_at_ms > connection_cutoff_ms:
         return NotSentReason.READINESS_UNPROVEN
     return None
 
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -286,7 +286,7 @@
 
     def on_write_delayed(self) -> None:
         """Finish unwritten exchanges that may not be sent any more; update the timeouts of the others."""
-        latest_ms = self._readiness.latest_connection_ms(self._owner.worker_id)
+        latest_ms = self._readiness.connection_cutoff_ms(self._owner.worker_id)
         for exchange in self.unwritten():
             not_sent_reason = check_exchange(exchange, self._owner.state) or check_readiness(
                 exchange, self.established_at_ms, latest_ms
--- a/function_router/statistics.py
+++ b/function_router/statistics.py
@@ -128,19 +128,19 @@
         """The time of the last arrival; minus infinity before the first one."""
         return self._last_ms[-1] if self._last_ms else -math.inf
 
-    def decay(self, now_ms: float) -> float:
+    def decay_factor(self, now_ms: float) -> float:
         """Return the factor by which the count has decayed since the last arrival."""
         return math.exp((self._last_ms[-1] - now_ms) / self._decay_ms) if self._last_ms else 1.0
 
     def rate(self, now_ms: float, since_ms: float, min_interval_ms: float) -> float:
         """Return the arrivals per millisecond since `since_ms`, averaged over at least `min_interval_ms`."""
         interval_ms = min(self._decay_ms, now_ms - since_ms + min_interval_ms)
-        rate = self._count * self.decay(now_ms) / interval_ms
+        rate = self._count * self.decay_factor(now_ms) / interval_ms
         if len(self._last_ms) == self._last_ms.maxlen:
             rate = max(rate, len(self._last_ms) / max(now_ms - self._last_ms[0], min_interval_ms))
         return rate
 
     def add(self, now_ms: float) -> None:
         """Add an arrival, which must not be earlier than the last one."""
-        self._count = self._count * self.decay(now_ms) + 1
+        self._count = self._count * self.decay_factor(now_ms) + 1
         self._last_ms.append(now_ms)
--- a/tests/decisions/test_arrivals.py
+++ b/tests/decisions/test_arrivals.py
@@ -9,9 +9,17 @@
 WINDOW_MS = ARRIVAL_WINDOW_MS - MAX_START_ORDER_DELAY_MS
 
 
-def arrive(arrivals, request_id, now_ms, *, client_id="", age_ms=0.0):
+def arrive(arrivals, request_id, now_ms, *, client_request_id="", age_ms=0.0):
     arrivals.record(
-        RequestArrived(request_id, "f", "read", "t", timeout_ms=1000.0, client_id=client_id, age_ms=age_ms),
+        RequestArrived(
+            request_id,
+            "f",
+            "read",
+            "t",
+            timeout_ms=1000.0,
+            client_request_id=client_request_id,
+            age_ms=age_ms,
+        ),
         now_ms,
     )
 
@@ -25,8 +33,8 @@
 
 
 def test_request_that_a_client_retries_counts_once_in_the_recent_rate(arrivals):
-    arrive(arrivals, "r1", 0.0, client_id="c")
-    arrive(arrivals, "r2", 10.0, client_id="c")
+    arrive(arrivals, "r1", 0.0, client_request_id="c")
+    arrive(arrivals, "r2", 10.0, client_request_id="c")
 
     assert arrivals.recent_rate(20.0) == 1 / WINDOW_MS
 
--- a/tests/decisions/test_endpoint_leases.py
+++ b/tests/decisions/test_endpoint_leases.py
@@ -29,7 +29,7 @@
     harness.now_ms = 1e9
 
     assert harness.router.is_endpoint_list_current(harness.now_ms)
-    assert harness.router.latest_connection_ms(1, harness.now_ms) == math.inf
+    assert harness.router.connection_cutoff_ms(1, harness.now_ms) == math.inf
 
 
 def test_list_is_current_for_one_lease_beyond_the_tolerated_log_silence(harness):
@@ -106,47 +106,65 @@
     assert sent_to(answered) == [harness.warm_id]
 
 
-def test_lease_counts_from_the_health_check_and_is_renewed_in_use(checking):
-    checked_at_ms = checking.now_ms
-    checking.end_attempt(*actions_of(checking.answer_health_check(checking.warm_id), SendRequest))
-    checking.now_ms = checked_at_ms + LEASE_MS - RENEWAL_LEAD_MS - 1
-    early = checking.request("r2")
-    checking.end_attempt(*actions_of(early, SendRequest))
-    checking.now_ms = checked_at_ms + LEASE_MS - 1
+def test_lease_counts_from_the_health_check_and_is_renewed_in_use(harness_awaiting_check):
+    checked_at_ms = harness_awaiting_check.now_ms
+    harness_awaiting_check.end_attempt(
+        *actions_of(harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id), SendRequest)
+    )
+    harness_awaiting_check.now_ms = checked_at_ms + LEASE_MS - RENEWAL_LEAD_MS - 1
+    early = harness_awaiting_check.request("r2")
+    harness_awaiting_check.end_attempt(*actions_of(early, SendRequest))
+    harness_awaiting_check.now_ms = checked_at_ms + LEASE_MS - 1
 
-    late = checking.request("r3")
+    late = harness_awaiting_check.request("r3")
 
-    assert (sent_to(early), checked(early)) == ([checking.warm_id], [])
-    assert (sent_to(late), checked(late)) == ([checking.warm_id], [checking.warm_id])
-    assert checking.leases.has_valid_lease(checking.worker(checking.warm_id), checked_at_ms + LEASE_MS - 1)
-    assert not checking.leases.has_valid_lease(checking.worker(checking.warm_id), checked_at_ms + LEASE_MS)
+    assert (sent_to(early), checked(early)) == ([harness_awaiting_check.warm_id], [])
+    assert (sent_to(late), checked(late)) == (
+        [harness_awaiting_check.warm_id],
+        [harness_awaiting_check.warm_id],
+    )
+    assert harness_awaiting_check.leases.has_valid_lease(
+        harness_awaiting_check.worker(harness_awaiting_check.warm_id), checked_at_ms + LEASE_MS - 1
+    )
+    assert not harness_awaiting_check.leases.has_valid_lease(
+        harness_awaiting_check.worker(harness_awaiting_check.warm_id), checked_at_ms + LEASE_MS
+    )
 
 
-def test_only_one_health_check_at_a_time_is_sent_for_a_function(checking):
+def test_only_one_health_check_at_a_time_is_sent_for_a_function(harness_awaiting_check):
 
-    actions = checking.request("r2")
+    actions = harness_awaiting_check.request("r2")
 
     assert checked(actions) == []
 
 
-def test_worker_that_reports_its_drain_gets_no_requests(checking):
+def test_worker_that_reports_its_drain_gets_no_requests(harness_awaiting_check):
 
-    actions = checking.answer_health_check(checking.warm_id, Readiness.DRAINING)
+    actions = harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
 
     assert sent_to(actions) == []
-    assert [f"worker {checking.warm_id} says that it is draining"] == [
+    assert [f"worker {harness_awaiting_check.warm_id} says that it is draining"] == [
         action.text for action in actions_of(actions, LogMessage)
     ]
-    assert checking.warm_id not in [worker.id for worker in checking.fleet.workers.ready]
-    assert checking.router.latest_connection_ms(checking.warm_id, checking.now_ms) == -math.inf
+    assert harness_awaiting_check.warm_id not in [
+        worker.id for worker in harness_awaiting_check.fleet.workers.ready
+    ]
+    assert (
+        harness_awaiting_check.router.connection_cutoff_ms(
+            harness_awaiting_check.warm_id, harness_awaiting_check.now_ms
+        )
+        == -math.inf
+    )
 
 
-def test_instance_is_started_elsewhere_when_its_worker_drains(checking):
-    [other_id] = checked(checking.answer_health_check(checking.warm_id, Readiness.DRAINING))
+def test_instance_is_started_elsewhere_when_its_worker_drains(harness_awaiting_check):
+    [other_id] = checked(
+        harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
+    )
 
-    ordered = start_orders(checking.answer_health_check(other_id))
+    ordered = start_orders(harness_awaiting_check.answer_health_check(other_id))
 
-    assert other_id != checking.warm_id
+    assert other_id != harness_awaiting_check.warm_id
     assert [order.worker_id for order in ordered] == [other_id]
 
 
@@ -173,20 +191,26 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
-def test_failed_exchange_revokes_the_lease(checking, outcome):
-    [send] = actions_of(checking.answer_health_check(checking.warm_id), SendRequest)
+def test_failed_exchange_revokes_the_lease(harness_awaiting_check, outcome):
+    [send] = actions_of(
+        harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id), SendRequest
+    )
 
-    checking.end_attempt(send, outcome)
+    harness_awaiting_check.end_attempt(send, outcome)
 
-    assert not checking.leases.has_valid_lease(checking.worker(checking.warm_id), checking.now_ms)
+    assert not harness_awaiting_check.leases.has_valid_lease(
+        harness_awaiting_check.worker(harness_awaiting_check.warm_id), harness_awaiting_check.now_ms
+    )
 
 
-def test_reported_drain_outlasts_an_unanswered_health_check(checking):
-    checking.answer_health_check(checking.warm_id, Readiness.DRAINING)
+def test_reported_drain_outlasts_an_unanswered_health_check(harness_awaiting_check):
+    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
 
-    checking.answer_health_check(checking.warm_id, Readiness.UNKNOWN, Outcome.TIMEOUT)
+    harness_awaiting_check.answer_health_check(
+        harness_awaiting_check.warm_id, Readiness.UNKNOWN, Outcome.TIMEOUT
+    )
 
-    assert not checking.worker(checking.warm_id).is_ready
+    assert not harness_awaiting_check.worker(harness_awaiting_check.warm_id).is_ready
 
 
 def test_draining_worker_is_checked_again_at_growing_intervals(harness):
--- a/tests/decisions/test_endpoint_leases_recovery.py
+++ b/tests/decisions/test_endpoint_leases_recovery.py
@@ -21,114 +21,145 @@
 # --- restarts
 
 
-def test_same_connection_shows_that_a_worker_has_not_restarted(checking):
-    checking.answer_health_check(checking.warm_id, Readiness.DRAINING)
+def test_same_connection_shows_that_a_worker_has_not_restarted(harness_awaiting_check):
+    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
 
-    checking.answer_health_check(checking.warm_id, lost_at_ms=checking.now_ms)
+    harness_awaiting_check.answer_health_check(
+        harness_awaiting_check.warm_id, lost_at_ms=harness_awaiting_check.now_ms
+    )
 
-    assert checking.worker(checking.warm_id).latest_start_ms is None
+    assert harness_awaiting_check.worker(harness_awaiting_check.warm_id).latest_start_ms is None
 
 
 @pytest.mark.parametrize("has_drained", [True, False], ids=["drained", "lost its connections"])
-def test_worker_that_may_have_restarted_is_in_slow_start(checking, has_drained):
+def test_worker_that_may_have_restarted_is_in_slow_start(harness_awaiting_check, has_drained):
     if has_drained:
-        checking.answer_health_check(checking.warm_id, Readiness.DRAINING)
-    lost_at_ms = None if has_drained else checking.now_ms
-    checking.connected_ms = checking.now_ms
+        harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
+    lost_at_ms = None if has_drained else harness_awaiting_check.now_ms
+    harness_awaiting_check.connected_ms = harness_awaiting_check.now_ms
 
-    checking.answer_health_check(checking.warm_id, lost_at_ms=lost_at_ms)
+    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, lost_at_ms=lost_at_ms)
 
-    assert checking.worker(checking.warm_id).latest_start_ms == checking.connected_ms
-    assert checking.fleet.slow_start.capacity_share(checking.worker(checking.warm_id), checking.now_ms) < 1.0
+    assert (
+        harness_awaiting_check.worker(harness_awaiting_check.warm_id).latest_start_ms
+        == harness_awaiting_check.connected_ms
+    )
+    assert (
+        harness_awaiting_check.fleet.slow_start.capacity_share(
+            harness_awaiting_check.worker(harness_awaiting_check.warm_id), harness_awaiting_check.now_ms
+        )
+        < 1.0
+    )
 
 
-def test_new_connection_alone_does_not_count_as_a_restart(checking):
-    checking.connected_ms = checking.now_ms
+def test_new_connection_alone_does_not_count_as_a_restart(harness_awaiting_check):
+    harness_awaiting_check.connected_ms = harness_awaiting_check.now_ms
 
-    checking.answer_health_check(checking.warm_id)
+    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id)
 
-    assert checking.worker(checking.warm_id).latest_start_ms is None
+    assert harness_awaiting_check.worker(harness_awaiting_check.warm_id).latest_start_ms is None
 
 
-def test_connection_established_after_the_health_check_carries_no_new_work(checking):
-    checked_at_ms = checking.now_ms
+def test_connection_established_after_the_health_check_carries_no_new_work(harness_awaiting_check):
+    checked_at_ms = harness_awaiting_check.now_ms
 
-    checking.answer_health_check(checking.warm_id)
+    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id)
 
-    assert checking.router.latest_connection_ms(checking.warm_id, checking.now_ms) == checked_at_ms
+    assert (
+        harness_awaiting_check.router.connection_cutoff_ms(
+            harness_awaiting_check.warm_id, harness_awaiting_check.now_ms
+        )
+        == checked_at_ms
+    )
 
 
 # --- the end of a log outage
 
 
-def test_list_that_is_current_again_discards_assumed_starts(checking):
-    checking.connected_ms = checking.now_ms
-    checking.answer_health_check(checking.warm_id, lost_at_ms=checking.now_ms)
+def test_list_that_is_current_again_discards_assumed_starts(harness_awaiting_check):
+    harness_awaiting_check.connected_ms = harness_awaiting_check.now_ms
+    harness_awaiting_check.answer_health_check(
+        harness_awaiting_check.warm_id, lost_at_ms=harness_awaiting_check.now_ms
+    )
 
-    checking.confirm_list()
+    harness_awaiting_check.confirm_list()
 
-    assert checking.worker(checking.warm_id).latest_start_ms is None
-    assert checking.router.latest_connection_ms(checking.warm_id, checking.now_ms) == math.inf
+    assert harness_awaiting_check.worker(harness_awaiting_check.warm_id).latest_start_ms is None
+    assert (
+        harness_awaiting_check.router.connection_cutoff_ms(
+            harness_awaiting_check.warm_id, harness_awaiting_check.now_ms
+        )
+        == math.inf
+    )
 
 
-def test_older_event_does_not_undo_a_drain_that_the_worker_reported(checking):
-    checking.answer_health_check(checking.warm_id, Readiness.DRAINING)
+def test_older_event_does_not_undo_a_drain_that_the_worker_reported(harness_awaiting_check):
+    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
 
-    checking.feed(EndpointsChanged([Endpoint(checking.warm_id)], is_complete=False))
-    checking.confirm_list()
+    harness_awaiting_check.feed(
+        EndpointsChanged([Endpoint(harness_awaiting_check.warm_id)], is_complete=False)
+    )
+    harness_awaiting_check.confirm_list()
 
-    assert not checking.worker(checking.warm_id).is_ready
+    assert not harness_awaiting_check.worker(harness_awaiting_check.warm_id).is_ready
 
 
-def test_reported_drain_that_the_list_never_confirms_expires(checking):
-    checking.answer_health_check(checking.warm_id, Readiness.DRAINING)
-    checking.now_ms += DRAIN_REPORT_TTL_MS + 1
+def test_reported_drain_that_the_list_never_confirms_expires(harness_awaiting_check):
+    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
+    harness_awaiting_check.now_ms += DRAIN_REPORT_TTL_MS + 1
 
-    checking.confirm_list()
+    harness_awaiting_check.confirm_list()
 
-    assert checking.worker(checking.warm_id).is_ready
+    assert harness_awaiting_check.worker(harness_awaiting_check.warm_id).is_ready
 
 
-def test_drain_reported_after_the_list_is_current_again_expires_too(checking):
-    checking.confirm_list()
-    checking.answer_health_check(checking.warm_id, Readiness.DRAINING)
-    checking.now_ms += DRAIN_REPORT_TTL_MS + 1
+def test_drain_reported_after_the_list_is_current_again_expires_too(harness_awaiting_check):
+    harness_awaiting_check.confirm_list()
+    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
+    harness_awaiting_check.now_ms += DRAIN_REPORT_TTL_MS + 1
 
-    checking.confirm_list()
+    harness_awaiting_check.confirm_list()
 
-    assert checking.worker(checking.warm_id).is_ready
+    assert harness_awaiting_check.worker(harness_awaiting_check.warm_id).is_ready
 
 
-def test_old_confirmation_discards_no_assumed_start(checking):
-    confirmed_ms = checking.now_ms - LEASE_MS
-    checking.connected_ms = checking.now_ms
-    checking.answer_health_check(checking.warm_id, lost_at_ms=checking.now_ms)
-    checking.now_ms += MAX_LOG_SILENCE_MS + LEASE_MS
+def test_old_confirmation_discards_no_assumed_start(harness_awaiting_check):
+    confirmed_ms = harness_awaiting_check.now_ms - LEASE_MS
+    harness_awaiting_check.connected_ms = harness_awaiting_check.now_ms
+    harness_awaiting_check.answer_health_check(
+        harness_awaiting_check.warm_id, lost_at_ms=harness_awaiting_check.now_ms
+    )
+    harness_awaiting_check.now_ms += MAX_LOG_SILENCE_MS + LEASE_MS
 
-    checking.feed(EndpointListConfirmed(confirmed_ms))
+    harness_awaiting_check.feed(EndpointListConfirmed(confirmed_ms))
 
-    assert checking.worker(checking.warm_id).latest_start_ms == checking.connected_ms
+    assert (
+        harness_awaiting_check.worker(harness_awaiting_check.warm_id).latest_start_ms
+        == harness_awaiting_check.connected_ms
+    )
 
 
-def test_worker_is_checked_again_if_the_end_of_a_health_check_is_never_reported(checking):
-    checking.now_ms += CHECK_EXPIRY_MS
-    checking.request("r2")
+def test_worker_is_checked_again_if_the_end_of_a_health_check_is_never_reported(harness_awaiting_check):
+    harness_awaiting_check.now_ms += CHECK_EXPIRY_MS
+    harness_awaiting_check.request("r2")
 
-    assert checking.warm_id in checked(checking.report_instances(checking.warm_id, 1))
+    assert harness_awaiting_check.warm_id in checked(
+        harness_awaiting_check.report_instances(harness_awaiting_check.warm_id, 1)
+    )
 
 
-def test_later_start_in_the_list_ends_a_reported_drain(checking):
-    checking.answer_health_check(checking.warm_id, Readiness.DRAINING)
-    restarted = Endpoint(checking.warm_id, started_at_ms=checking.now_ms + 1)
+def test_later_start_in_the_list_ends_a_reported_drain(harness_awaiting_check):
+    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
+    restarted = Endpoint(harness_awaiting_check.warm_id, started_at_ms=harness_awaiting_check.now_ms + 1)
 
-    checking.feed(EndpointsChanged([restarted], is_complete=False))
+    harness_awaiting_check.feed(EndpointsChanged([restarted], is_complete=False))
 
-    assert checking.worker(checking.warm_id).is_ready
+    assert harness_awaiting_check.worker(harness_awaiting_check.warm_id).is_ready
 
 
-def test_queued_request_is_sent_once_the_list_is_current(checking):
+def test_queued_request_is_sent_once_the_list_is_current(harness_awaiting_check):
 
-    assert sent_to(checking.confirm_list()) == [checking.warm_id]
+    assert sent_to(harness_awaiting_check.confirm_list()) == [harness_awaiting_check.warm_id]
 
 
 def test_request_while_every_worker_drains_is_queued_without_an_error():
@@ -153,16 +184,20 @@
     assert not harness.router.is_within_drain_grace(harness.warm_id, confirmed_until_ms)
 
 
-def test_run_time_check_grants_the_grace_after_an_answer_that_a_drain_has_followed(checking):
-    checked_at_ms = checking.now_ms
-    checking.answer_health_check(checking.warm_id)
-    checking.answer_health_check(checking.warm_id, Readiness.DRAINING)
+def test_run_time_check_grants_the_grace_after_an_answer_that_a_drain_has_followed(harness_awaiting_check):
+    checked_at_ms = harness_awaiting_check.now_ms
+    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id)
+    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
 
-    assert checking.router.is_within_drain_grace(checking.warm_id, checked_at_ms + DRAIN_GRACE_MS - 1)
-    assert not checking.router.is_within_drain_grace(checking.warm_id, checked_at_ms + DRAIN_GRACE_MS)
+    assert harness_awaiting_check.router.is_within_drain_grace(
+        harness_awaiting_check.warm_id, checked_at_ms + DRAIN_GRACE_MS - 1
+    )
+    assert not harness_awaiting_check.router.is_within_drain_grace(
+        harness_awaiting_check.warm_id, checked_at_ms + DRAIN_GRACE_MS
+    )
 
 
-def test_worker_that_the_list_has_as_draining_gets_no_requests(harness):
+def test_worker_that_the_list_shows_as_draining_gets_no_requests(harness):
     draining = Endpoint(harness.warm_id, state=WorkerState.DRAINING)
 
     harness.feed(EndpointsChanged([draining], is_complete=False))
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -57,7 +57,7 @@
     assert [send.worker_id for send in sends] == ([warm_worker] if is_answered else [])
 
 
-def test_unresponsive_workers_are_used_when_most_of_the_workers_are():
+def test_unresponsive_workers_are_used_when_most_workers_are_unresponsive():
     harness = DecisionHarness(workers=2)
     for worker_id in (1, 2):
         harness.fleet.health.mark_unresponsive(harness.worker(worker_id), harness.now_ms)
--- a/tests/decisions/test_instances.py
+++ b/tests/decisions/test_instances.py
@@ -9,7 +9,7 @@
 
 
 def test_idle_instance_is_presumed_stopped_after_its_keep_alive():
-    harness = DecisionHarness(keep_alive_ms=5000.0)
+    harness = DecisionHarness(instance_keep_alive_ms=5000.0)
     harness.warm_up()
     harness.now_ms += 5001
 
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -96,7 +96,7 @@
 
 
 def test_worker_with_headroom_that_is_presumed_warm_is_not_probed_as_other_routers_renew_its_instance():
-    harness = one_of_many_routers(40, keep_alive_ms=8_000.0)
+    harness = one_of_many_routers(40, instance_keep_alive_ms=8_000.0)
     first_send = harness.complete_starts(harness.request("first", concurrency=2))[0]
     harness.end_attempt(first_send)
     harness.now_ms += 20_000.0  # longer than the keep-alive time, but other routers use the instance
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -122,7 +122,7 @@
 }
 
 
-def restart(workers, now_ms):
+def list_of_restarted_workers(workers, now_ms):
     """Return a complete endpoint list with this many workers, which have all just started."""
     endpoints = [Endpoint(worker_id, started_at_ms=now_ms) for worker_id in range(1, workers + 1)]
     return EndpointsChanged(endpoints, is_complete=True)
@@ -162,7 +162,7 @@
 
     for harness in harnesses:
         harness.now_ms = 20_000.0
-        harness.feed(restart(MANY_ROUTERS_WORKERS, 20_000.0))
+        harness.feed(list_of_restarted_workers(MANY_ROUTERS_WORKERS, 20_000.0))
         for number in range(10):
             harness.now_ms += 100.0
             sent_to += [send.worker_id for send in send_request(harness, f"r{number}")]
@@ -187,7 +187,7 @@
 
     for harness in harnesses:
         serve_ten_functions(harness, interval_ms=2000.0)
-        harness.feed(restart(workers_left, harness.now_ms))
+        harness.feed(list_of_restarted_workers(workers_left, harness.now_ms))
         for number in range(3 * requests_per_second):
             harness.now_ms += 1000.0 / requests_per_second
             for send in send_request(harness, f"r{number}", f"f{number % 10}"):
@@ -203,7 +203,7 @@
 
     for index, harness in enumerate(many_routers(router_count, **SLOW_START)):
         serve_ten_functions(harness, interval_ms=1000.0)
-        restarted_workers = restart(MANY_ROUTERS_WORKERS, harness.now_ms)
+        restarted_workers = list_of_restarted_workers(MANY_ROUTERS_WORKERS, harness.now_ms)
         harness.feed(restarted_workers)
         for number in range(9):
             if number == 4 and index % 2:  # half of the routers restart and lose the record of their sends
@@ -221,7 +221,7 @@
 
 def test_sends_to_a_worker_are_not_kept_once_its_slow_start_is_over():
     harness = one_of_many_routers(40, slow_start_ms=1000.0)
-    harness.feed(restart(MANY_ROUTERS_WORKERS, 1.0))
+    harness.feed(list_of_restarted_workers(MANY_ROUTERS_WORKERS, 1.0))
 
     for number in range(50):
         harness.now_ms += 2000.0
--- a/tests/decisions/test_start_order_limits.py
+++ b/tests/decisions/test_start_order_limits.py
@@ -66,11 +66,11 @@
 LATE_MS = MAX_START_ORDER_DELAY_MS + 1.0
 
 
-def limits_with_orders(*sent_ms):
+def limits_with_orders(*decided_ms):
     """Return a limit of two start orders in any 5 s, with orders that were decided at the given times."""
     settings = Settings(start_order_window_ms=5000.0, start_order_burst=2.0)
     limits = StartOrderLimits(settings, Arrivals(settings))
-    for time_ms in sent_ms:
+    for time_ms in decided_ms:
         limits.record_order(time_ms)
     return limits
 
@@ -81,7 +81,7 @@
     counted_ms = limits.revalidate(100.0, now_ms=100.0 + MAX_START_ORDER_DELAY_MS)
 
     assert counted_ms == 100.0
-    assert list(limits.sent) == [100.0]
+    assert list(limits.counted) == [100.0]
 
 
 def test_order_that_is_sent_late_counts_as_of_then():
@@ -90,7 +90,7 @@
     counted_ms = limits.revalidate(100.0, now_ms=100.0 + LATE_MS)
 
     assert counted_ms == 100.0 + LATE_MS
-    assert list(limits.sent) == [100.0 + LATE_MS]
+    assert list(limits.counted) == [100.0 + LATE_MS]
 
 
 def test_order_that_is_sent_late_is_not_allowed_if_later_ones_have_used_up_the_limit():
@@ -99,7 +99,7 @@
     counted_ms = limits.revalidate(100.0, now_ms=5200.0)
 
     assert counted_ms is None
-    assert list(limits.sent) == [5000.0, 5100.0]
+    assert list(limits.counted) == [5000.0, 5100.0]
 
 
 def test_no_order_is_allowed_while_the_limit_is_used_up():
--- a/tests/net/test_start_order_limit.py
+++ b/tests/net/test_start_order_limit.py
@@ -28,14 +28,14 @@
     """Have the decision module count `count` orders as sent now."""
     now_ms = harness.router_process.loop.clock.now_ms()
     for _ in range(count):
-        harness.router_process.router.start_order_limits.sent.add(now_ms)
+        harness.router_process.router.start_order_limits.counted.add(now_ms)
 
 
 def send_start_order(harness, instances):
     """Send a start order that is decided on and counted now."""
     now_ms = harness.router_process.loop.clock.now_ms()
     harness.table.begin_batch(now_ms)
-    harness.router_process.router.start_order_limits.sent.add(now_ms)
+    harness.router_process.router.start_order_limits.counted.add(now_ms)
     harness.table.ensure_instances(EnsureInstances(UNLISTED_WORKER_ID, FUNCTION, instances))
 
 
@@ -97,7 +97,7 @@
     harness.run_until(lambda: worker.frames, "the probe, which is sent after the order, arrives")
 
     assert ("1" in ordered_instances(worker)) == is_sent
-    ordered = list(harness.router_process.router.start_order_limits.sent)
+    ordered = list(harness.router_process.router.start_order_limits.counted)
     assert len(ordered) == 2
     one_second_ago_ms = harness.router_process.loop.clock.now_ms() - 1000.0
     assert min(ordered) > one_second_ago_ms
@@ -109,7 +109,7 @@
     send_start_order_before_connecting(harness, worker)
     harness.run_until(lambda: worker.frames, "a connection is established")
     [connection, *_] = harness.connections_to()
-    harness.router_process.router.start_order_limits.sent.clear()
+    harness.router_process.router.start_order_limits.counted.clear()
     receive = worker.receive
     worker.receive = lambda: None
     filler = fill_socket(connection)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -123,7 +123,7 @@
 
     assert settings.max_retry_after_ms == 0.0
     assert settings.starts_on_request
-    assert settings.keep_alive_ms == 9000.0
+    assert settings.instance_keep_alive_ms == 9000.0
     assert settings.tenant_quotas_rps == {"acme": 5.0}
     assert settings.worker_sizes_known
 
--- a/tests/test_statistics.py
+++ b/tests/test_statistics.py
@@ -126,7 +126,7 @@
 
     assert arrivals.rate(0.0, since_ms=0.0, min_interval_ms=100.0) == pytest.approx(1 / 100)
     assert arrivals.rate(1000.0, since_ms=0.0, min_interval_ms=100.0) == pytest.approx(1 / math.e / 1000)
-    assert arrivals.decay(1000.0) == pytest.approx(1 / math.e)
+    assert arrivals.decay_factor(1000.0) == pytest.approx(1 / math.e)
 
 
 def test_arrivals_in_a_burst_are_rated_separately():
@@ -138,5 +138,5 @@
 
 def test_last_arrival_is_minus_infinity_before_the_first():
     assert arrivals_at().last_ms == -math.inf
-    assert arrivals_at().decay(5.0) == 1.0
+    assert arrivals_at().decay_factor(5.0) == 1.0
     assert arrivals_at(1.0, 7.0).last_ms == 7.0
