--- a/function_router/decisions/__init__.py
+++ b/function_router/decisions/__init__.py
@@ -22,7 +22,7 @@
     endpoint_leases                     how long the endpoint list and a worker's health check stay valid
     capacity, slow_start                limits of workers, and send budgets of those in slow start
     arrivals, durations                 request rates, run times and start times
-    workers, functions, requests        tables that own the records and evict old ones
+    workers, functions, requests        tables that own the records; the first two evict old ones
     records                             workers, functions, instances, requests and attempts
     outbox                              actions that are decided but not returned yet
 
--- a/function_router/decisions/admission.py
+++ b/function_router/decisions/admission.py
@@ -72,7 +72,7 @@
         return left_ms < min(runs_ms, objective_ms * FINAL_OBJECTIVE_FRACTION)
 
     def is_due_on_arrival(self, request: Request, now_ms: float) -> bool:
-        """Return whether a new request is answered unsent, because the next timer would be too late."""
+        """Return whether to answer a new request without sending it, as the next timer would be too late."""
         return request.deadline_ms - now_ms <= TIMER_INTERVAL_MS + ANSWER_LEAD_MS
 
     def is_due_on_timer(self, request: Request, now_ms: float) -> bool:
--- a/function_router/decisions/answers.py
+++ b/function_router/decisions/answers.py
@@ -9,7 +9,7 @@
 
 
 class Answers:
-    """Closes requests. No other component answers a request without a worker."""
+    """Closes requests. No other component gives answers of the router itself."""
 
     def __init__(
         self, settings: Settings, requests: OpenRequests, retry_policy: RetryPolicy, outbox: Outbox
@@ -35,7 +35,7 @@
         self._outbox.add(RejectRequest(request.id, retry_after_ms))
 
     def close(self, request: Request) -> None:
-        """Close a request that needs no answer of the router, and cancel its attempts in flight."""
+        """Close a request without an answer of the router, and cancel its attempts in flight."""
         del self._requests.by_id[request.id]
         queue = request.function.queue
         if request in queue:
--- a/function_router/decisions/capacity.py
+++ b/function_router/decisions/capacity.py
@@ -29,8 +29,9 @@
 MIN_IN_FLIGHT_LIMIT = 1.0
 MIN_IN_FLIGHT_LIMIT_MANY_ROUTERS = 2.0
 
-# The final fraction of the latency objective. The limit on attempts in flight is the number that the workers
-# can answer within this time. A queued request is not expected to miss its objective before this time begins.
+# The final fraction of the latency objective, which has two uses. The limit on attempts in flight is the
+# number that the workers can answer within this fraction of the objective. A queued request is expected to
+# miss its objective only if less than this fraction of the objective is left.
 FINAL_OBJECTIVE_FRACTION = 0.5
 
 
--- a/function_router/decisions/circuit_breakers.py
+++ b/function_router/decisions/circuit_breakers.py
@@ -24,7 +24,8 @@
     def is_open(self, worker: Worker, class_name: str, now_ms: float) -> bool:
         """Return whether requests of a class must not go to a worker.
 
-        If the breakers of most workers are open, none has an effect, as in Envoy's panic mode.
+        If most ready workers have a breaker of the class with open time left, none has an effect, as in
+        Envoy's panic mode. This includes breakers that successes have closed before the end of that time.
         """
         breaker = worker.breakers.get(class_name)
         if breaker is None or not breaker.is_open(now_ms):
--- a/function_router/decisions/endpoint_leases.py
+++ b/function_router/decisions/endpoint_leases.py
@@ -3,13 +3,14 @@
 The endpoint log reports past states. While the router is connected to the log, the log's heartbeats renew a
 lease on the whole list. Once that lease has expired, a worker may have drained or restarted unnoticed. New
 work then goes only to workers with a lease of their own, which they get by answering a health check with
-ready. A lease starts when the health check is sent, and ends before the operator's grace for sends to a
-draining worker does. (Leases: Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for
-Distributed File Cache Consistency", 1989.)
+ready. A lease starts when the health check is sent. It ends before the drain grace, which is how long new
+work may still go to a worker after its drain is announced. (Leases: Gray and Cheriton, "Leases: An Efficient
+Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989.)
 
 A lease covers one process. A health check is answered on one connection. A connection that is established
-later may reach another process, which needs a health check of its own. That process is in slow start if the
-earlier one is known to be gone.
+later may reach another process, which needs a health check of its own. The worker is assumed to have
+restarted, and to be in slow start, if it has drained, become unresponsive or lost a connection since the
+earlier process was last known to run.
 """
 
 import math
@@ -23,15 +24,18 @@
 from function_router.decisions.types import Readiness, WorkerState
 from function_router.decisions.workers import WorkerTable
 
-# If the log is silent for this long, the network code requests it again. Events that the log has not
-# delivered by then count as announced only from that time on. The log sends a heartbeat every second.
+# If the log is silent, the duration of the lease on the list counts from this time after the last
+# confirmation. The log sends a heartbeat every second. After the same time of silence, the network code
+# requests the events again (`SILENCE_TIMEOUT_MS`). An event that a silent log delays counts as announced 4 s
+# after the silence began. An event that is published while the connection is broken counts as announced 2 s
+# after the break.
 MAX_LOG_SILENCE_MS = 2_000.0
 
-# How long before the grace for sends a lease ends. This allows for the transfer of a frame to the worker, and
-# for a stall of the process between the check of the lease and the write.
+# How long before the end of the drain grace a lease ends. This allows for the transfer of a frame to the
+# worker, and for a stall of the process between the check of the lease and the write.
 LEASE_MARGIN_MS = 100.0
 
-# Minimum duration of a lease, as a fraction of the grace, however short the grace is.
+# Minimum duration of a lease, as a fraction of the drain grace, however short the drain grace is.
 MIN_LEASE_FRACTION = 0.5
 
 # How long before its end a lease in use is renewed, so that requests rarely wait for a health check.
@@ -82,7 +86,8 @@
         self._confirmed_ms: float | None = None
         self._interrupted_ms = math.inf  # time of the first interruption since the last confirmation
         self._first_interrupted_ms = math.inf  # time of the first interruption, reported at startup
-        self._checked: dict[int, Worker] = {}  # workers whose health check answers may need clearing, by id
+        # By id, the workers with results of health checks that the list has not superseded yet.
+        self._checked: dict[int, Worker] = {}
 
     # --- the list -------------------------------------------------------------------------------
 
@@ -135,7 +140,8 @@
 
         Args:
             worker: A worker that is ready according to the list.
-            function: The function whose request needs the worker, for the traces of its requests.
+            function: Name of the function that needs the worker. The health check is added to the traces of
+                this function's requests.
             now_ms: The current time.
             may_check: Whether a health check may be sent.
         """
@@ -155,12 +161,12 @@
         return self.is_list_current(now_ms) or now_ms < self._expires_ms(worker)
 
     def connection_cutoff_ms(self, worker_id: int, now_ms: float) -> float:
-        """Return the time by which a connection must have been established to carry new work to a worker now.
+        """Return the time by which a connection to a worker must have been established to carry new work now.
 
         Later connections may lead to another process than the one that answered the health check.
 
         Returns:
-            The time; infinity if every connection may carry new work, minus infinity if none may.
+            The time; infinity if every connection may, minus infinity if none may.
         """
         worker = self._workers.by_id.get(worker_id)
         if worker is not None and worker.lease.drain_reported_ms is not None:
@@ -172,9 +178,10 @@
         return worker.lease.ready_as_of_ms
 
     def is_within_grace(self, worker_id: int, at_ms: float) -> bool:
-        """Return whether new work that was sent at `at_ms` kept the operator's grace, as far as is known.
+        """Return whether new work that was sent at `at_ms` was within the drain grace, as far as is known.
 
-        This is the rule itself, without the safety margins that the decision module adds to it.
+        This includes the margin by which a lease ends earlier. A drain grace below 200 ms, for which
+        `MIN_LEASE_FRACTION` determines the duration of a lease, counts as longer than it is.
         """
         worker = self._workers.by_id.get(worker_id)
         expires_ms = self.list_expires_ms
--- a/function_router/decisions/events.py
+++ b/function_router/decisions/events.py
@@ -1,6 +1,7 @@
 """Events, the input of `Router.handle`. This module contains no decision logic.
 
-Times are milliseconds on the caller's clock. Durations are in milliseconds.
+Times are milliseconds on the caller's clock. Durations are in milliseconds. No decision uses the fields
+`machine_kind`, `memory_mb`, `expected_run_ms` and `load_report`.
 """
 
 from msgspec import Struct
@@ -49,15 +50,15 @@
     memory_mb: float | None = None  # memory of an instance
     expected_start_ms: float | None = None  # typical duration of a cold start
     expected_run_ms: float | None = None  # typical duration of a run
-    client_request_id: str = ""  # the client's id of the request; a client's retry carries the same id
-    age_ms: float = 0.0  # time since the arrival
+    client_request_id: str = ""  # the client's own id of the request; a client's retry carries the same id
+    age_ms: float = 0.0  # how long the last bytes of the request were unread before this event
 
 
 class RequestCancelled(Struct, frozen=True):
     """The client of a request no longer waits, so the router owes it no answer."""
 
     request_id: str
-    client_request_id: str = ""
+    client_request_id: str = ""  # the client's own id of the request; a client's retry carries the same id
 
 
 class AttemptEnded(Struct, frozen=True):
@@ -68,7 +69,9 @@
     worker_id: int
     outcome: Outcome
     duration_ms: float
-    is_answered: bool  # the request has a final answer, from this or another source, or needs none
+    # The request needs no further attempt: this or another attempt was answered, the router has answered, or
+    # the client has cancelled the request.
+    is_answered: bool
     start_kind: StartKind = StartKind.UNKNOWN
     in_flight: int | None = None  # requests of the function at the worker when this one arrived there
     load_report: dict[str, float] | None = None
--- a/function_router/decisions/feedback.py
+++ b/function_router/decisions/feedback.py
@@ -78,8 +78,8 @@
     ) -> bool:
         """Update the estimates at the end of a start order or probe.
 
-        If an unresponsive worker replies and has lost its instances, it must have restarted, even if the
-        endpoint log has not announced that yet.
+        If an unresponsive worker replies and has lost its instances, it is assumed to have restarted, even if
+        the endpoint log has not announced that yet.
 
         Returns:
             Whether the worker has just become unresponsive.
--- a/function_router/decisions/functions.py
+++ b/function_router/decisions/functions.py
@@ -6,8 +6,8 @@
 from function_router.decisions.records import Function, Worker
 from function_router.hashing import hash64
 
-# Maximum number of functions, which bounds the memory. When it is reached, the half of the functions with the
-# oldest last requests is evicted.
+# Maximum number of functions, which bounds the memory. When it is reached, the functions whose last requests
+# are oldest are evicted, up to half of the maximum.
 MAX_FUNCTIONS = 2_000
 
 # How long a function without requests is kept.
@@ -38,8 +38,9 @@
         return function
 
     def evict_idle(self, workers: Iterable[Worker], now_ms: float) -> None:
-        """Evict functions without recent requests, and the older half of all if the table is full.
+        """Evict functions without recent requests.
 
+        If the table is full, also evict the functions whose last requests are oldest, up to half of them.
         Functions with queued requests or pending work at a worker are always kept. The function last used at
         a worker is kept, too, because pings probe it.
         """
--- a/function_router/decisions/health.py
+++ b/function_router/decisions/health.py
@@ -21,18 +21,18 @@
 # Minimum time for which a reply is pending before the worker counts as silent, however short the runs are.
 MIN_SILENCE_MS = 300.0
 
-# An attempt, or the reply of a silent worker, is overdue after this many median run times.
+# An attempt, or any other pending reply of a worker, is overdue after this many median run times.
 OVERDUE_AFTER_RUNS = 3.0
 
-# An attempt is presumed lost after this many median run times. With many routers, a silent worker is pinged
-# only after this time; before that, it is just not preferred.
+# An attempt is presumed lost after this many median run times. With many routers, a silent worker is also
+# pinged only after this many; before that, it is just not preferred.
 LOST_AFTER_RUNS = 8.0
 
 # A worker becomes unresponsive if it doesn't answer a ping within this time.
 PING_TIMEOUT_MS = 80.0
 
-# Interval of pings to an unresponsive worker. It is also the minimum time until a ping of a worker that has
-# answered a probe, a start order or a health check while other replies are pending.
+# Interval of pings to an unresponsive worker. It is also how long silence does not count after a worker with
+# attempts in flight has answered a probe, a start order or a health check.
 PING_INTERVAL_MS = 1_000.0
 
 # Weight of one run in the estimated slowdown of its worker.
--- a/function_router/decisions/instances.py
+++ b/function_router/decisions/instances.py
@@ -65,6 +65,8 @@
             or now_ms - pool.last_counted_ms < UNVERIFIED_AFTER_MS
         ):
             return SlotState.FREE
+        # The reported count is too old to rely on. A more recent answer proves that one instance exists, and
+        # the attempts in flight prove that the instances that they occupy exist.
         seen_instances = 1 if now_ms - pool.last_seen_ms < UNVERIFIED_AFTER_MS else 0
         busy_instances = -(-pool.in_flight // slots)  # rounded up
         proven_slots = max(busy_instances, seen_instances) * slots
--- a/function_router/decisions/placement.py
+++ b/function_router/decisions/placement.py
@@ -25,8 +25,10 @@
 MIN_LOAD_BOUND = 2.0
 
 # A worker has no headroom if it got more than this multiple of its fair share of the router's sends in the
-# statistics window. Up to the minimum number of sends, the share is not considered.
+# statistics window.
 SEND_SHARE_FACTOR = 1.3
+
+# Decayed number of sends up to which a worker has headroom whatever its share.
 MIN_SENDS = 0.5
 
 # For a warm function, other workers are probed only above this multiple of the fair share, because many
--- a/function_router/decisions/records.py
+++ b/function_router/decisions/records.py
@@ -14,8 +14,8 @@
 from function_router.limits import CircuitBreaker
 from function_router.statistics import ArrivalRate, DecayingCounter, SlidingMedian, SlidingWindow
 
-# Window of the statistics. Older samples and counts are dropped. The value is that of this router's design;
-# the CIDRE paper uses 15 minutes.
+# Window of the statistics. Older samples and counts are dropped. The window is 10 s here and 15 minutes in
+# CIDRE (see `speculation`).
 STATISTICS_WINDOW_MS = 10_000.0
 
 # Maximum number of samples for one median. More samples would hardly change it, and each takes 100 bytes.
@@ -85,7 +85,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the endpoint list has the worker as ready and it has not reported a drain itself."""
+        """Whether the endpoint list shows the worker as ready and the worker has not reported a drain."""
         return self.endpoint.state is WorkerState.READY and self.lease.drain_reported_ms is None
 
     @property
--- a/function_router/decisions/router.py
+++ b/function_router/decisions/router.py
@@ -87,7 +87,7 @@
 
         Returns:
             The actions, which the caller must carry out immediately and in their order. After an exception,
-            `take_actions` returns those that were decided before it.
+            `take_actions` returns the actions that were decided up to the exception.
         """
         arrivals = self.fleet.arrivals
         arrivals.observed_since_ms = min(arrivals.observed_since_ms, now_ms)
@@ -99,7 +99,7 @@
         return self.take_actions()
 
     def take_actions(self) -> list[Action]:
-        """Return the actions not returned yet. After an exception, these are from the events before it."""
+        """Return the actions not returned yet, after an exception those that were decided up to it."""
         return self._outbox.take()
 
     def revalidate_start_order(self, counted_ms: float, now_ms: float) -> float | None:
@@ -117,15 +117,18 @@
         return self.fleet.leases.is_list_current(now_ms)
 
     def connection_cutoff_ms(self, worker_id: int, now_ms: float) -> float:
-        """Return the time by which a connection must have been established to carry new work to a worker now.
+        """Return the time by which a connection to a worker must have been established to carry new work now.
 
         Returns:
-            The time; infinity if every connection may carry new work, minus infinity if none may.
+            The time; infinity if every connection may, minus infinity if none may.
         """
         return self.fleet.leases.connection_cutoff_ms(worker_id, now_ms)
 
     def is_within_drain_grace(self, worker_id: int, at_ms: float) -> bool:
-        """Return whether new work that was sent at `at_ms` kept the drain grace, for run-time checks."""
+        """Return whether new work that was sent at `at_ms` was within the drain grace, as far as is known.
+
+        This is for the run-time check of invariants, not for decisions.
+        """
         return self.fleet.leases.is_within_grace(worker_id, at_ms)
 
     def _on_endpoints_changed(self, event: events.EndpointsChanged, now_ms: float) -> None:
--- a/function_router/decisions/scaling.py
+++ b/function_router/decisions/scaling.py
@@ -96,7 +96,8 @@
     def find_instances(self, function: Function, request: Request, now_ms: float) -> None:
         """Look for instances for a new request by probes, unless a warm one is known that can take it.
 
-        With many routers, each probes only its first preferred worker, which is mostly the same for all.
+        With many routers, each router probes only its first preferred worker, which is the same for most
+        routers.
         """
         if self._capacity.many_routers:
             if self._placement.is_warm_with_headroom(function, now_ms):
@@ -110,7 +111,10 @@
             self._ensure_instance(function, worker, now_ms)
 
     def _ensure_instance(self, function: Function, worker: Worker, now_ms: float) -> None:
-        """Probe a worker without a known instance. With many routers, start one if it was just probed."""
+        """Probe a worker without a known instance. If it was probed recently, a start may be ordered there.
+
+        Starts are ordered only with many routers. "Recently" means within `PROBE_TTL_MS`.
+        """
         pool = function.pool_at(worker)
         is_usable = self._health.is_usable(worker, function.class_name, now_ms)
         if not (is_usable and self._can_order_starts):
@@ -126,7 +130,7 @@
             self._start_orders.order_if_lease_valid(function, worker, now_ms, is_speculative=is_warm)
 
     def check_free_slot(self, request: Request, worker: Worker, now_ms: float) -> bool:
-        """Return whether a worker has a free slot for a request. Probe the worker if this is uncertain."""
+        """Return whether a worker has a free slot. If this is uncertain, probe it and return False."""
         state = self._instances.slot_state(request, worker, now_ms)
         if state is not SlotState.UNVERIFIED:
             return state is SlotState.FREE
@@ -151,7 +155,8 @@
     ) -> None:
         """Record the end of a probe.
 
-        With many routers, a worker without an instance starts one if it is among the first in hash order.
+        With many routers, a start may be ordered at the worker if it has no instance and is among the first
+        `fanout` workers in hash order.
         """
         pool = function.pool_at(worker)
         pool.pending_probes = max(0, pool.pending_probes - 1)
--- a/function_router/decisions/speculation.py
+++ b/function_router/decisions/speculation.py
@@ -1,6 +1,7 @@
 """Speculation: whether a cold start may be ordered while warm instances of a function are busy.
 
-This is the condition of CIDRE's conditional speculative scaling.
+This is the condition of CIDRE's conditional speculative scaling. CIDRE is described in Liu, Cheng, Shen, Wang
+and Balaji, "Concurrency-Informed Orchestration for Serverless Functions".
 """
 
 from function_router.decisions.durations import Durations
--- a/function_router/decisions/start_order_limits.py
+++ b/function_router/decisions/start_order_limits.py
@@ -28,7 +28,8 @@
             maximum=MAX_PENDING_ORDERS,
             decrease=PENDING_ORDERS_DECREASE,
         )
-        self.counted = SlidingWindow()  # when start orders count: at the decision, or at a late send
+        # The time at which each start order counts: its decision, or its send if that was late.
+        self.counted = SlidingWindow()
 
     def allows_order(self, now_ms: float) -> bool:
         """Return whether one more start order may be sent now."""
@@ -39,8 +40,8 @@
         """Return whether one more start order, sent now, would exceed the rate limit."""
         settings = self._settings
         window_ms = settings.start_order_window_ms
-        # An order counts from its decision, but may be sent up to the maximum delay later, so it is kept for
-        # that much longer.
+        # An order counts from its decision, but may be sent up to `MAX_START_ORDER_DELAY_MS` later, so it is
+        # kept for that much longer, and for one tick more.
         self.counted.remove_before(now_ms - window_ms - settings.tick_ms - MAX_START_ORDER_DELAY_MS)
         self._arrivals.drop_old(now_ms)
         requests = len(self._arrivals.recent)
--- a/function_router/hashing.py
+++ b/function_router/hashing.py
@@ -12,7 +12,7 @@
 
 
 def hash_name(name: str, size: int) -> int:
-    """Return a hash of a name with `size` bytes (BLAKE2b), which is the same in every process."""
+    """Return the BLAKE2b hash of a name. The hash has `size` bytes and is the same in every process."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=size).digest(), "big")
 
 
--- a/function_router/limits.py
+++ b/function_router/limits.py
@@ -40,7 +40,10 @@
         self._decrease = decrease
 
     def record(self, *, success: bool) -> None:
-        """Raise the limit by 1 / limit after a success, so by one per round; lower it after a failure."""
+        """Raise the limit by 1 / limit after a success, or lower it after a failure.
+
+        As many successes as the limit thus raise it by about one.
+        """
         value = self.value + (1 / self.value if success else -self._decrease * self.value)
         self.value = min(self._maximum, max(self._minimum, value))
 
@@ -81,7 +84,7 @@
         return self._failures < 1
 
     def has_open_time_left(self, now_ms: float) -> bool:
-        """Return whether the last open time is not over yet, even if successes have closed the breaker."""
+        """Return whether the last open time has not ended; successes may have closed the breaker since."""
         return self._open_until_ms > now_ms
 
     def is_open(self, now_ms: float) -> bool:
--- a/function_router/statistics.py
+++ b/function_router/statistics.py
@@ -111,8 +111,9 @@
 class ArrivalRate:
     """An arrival rate that follows a burst at once and then decays exponentially.
 
-    The rate is the greater of two estimates: a decaying count divided by its time constant, and the number of
-    the last few arrivals divided by the time since the first of them.
+    The rate is the greater of two estimates. One is a decaying count, divided by its time constant, or by the
+    time of observation plus a minimum interval if that is shorter. The other is the number of the last few
+    arrivals, divided by the time since the first of them, or by the minimum interval if that is longer.
     """
 
     __slots__ = ("_count", "_decay_ms", "_last_ms")
@@ -133,7 +134,11 @@
         return math.exp((self._last_ms[-1] - now_ms) / self._decay_ms) if self._last_ms else 1.0
 
     def rate(self, now_ms: float, since_ms: float, min_interval_ms: float) -> float:
-        """Return the arrivals per millisecond since `since_ms`, averaged over at least `min_interval_ms`."""
+        """Return the arrivals per millisecond, if arrivals have been observed since `since_ms`.
+
+        The two estimates of the rate take `min_interval_ms` into account, so that the first arrivals don't
+        yield a high rate.
+        """
         interval_ms = min(self._decay_ms, now_ms - since_ms + min_interval_ms)
         rate = self._count * self.decay_factor(now_ms) / interval_ms
         if len(self._last_ms) == self._last_ms.maxlen:
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -163,4 +163,5 @@
 
     sends_by_request = Counter(send.action.request_id for send in harness.logged(SendRequest))
     assert len(sends_by_request) == 100
+    # The hedge budget is at most 3, and each of the 100 requests adds 0.1 to it.
     assert sum(count > 1 for count in sends_by_request.values()) <= 13
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -51,7 +51,8 @@
 
     sent_ms = [entry.time_ms for entry in harness.logged(SendRequest)]
     most_in_a_window = max(sum(start <= time < start + 1000 for time in sent_ms) for start in sent_ms)
-    # About 90 requests per second arrive. The single worker can take 2 x (0.2 to 0.4) of that.
+    # 100 requests per second arrive. The overload multiple is 2, and the capacity of the single worker grows
+    # from 0.2 to 0.36 of that rate. The bound is its limit at a capacity of 0.3: 2 x 0.3 x 100.
     assert 1 <= most_in_a_window <= 60
 
 
@@ -167,13 +168,15 @@
             harness.now_ms += 100.0
             sent_to += [send.worker_id for send in send_request(harness, f"r{number}")]
 
-    # 100 routers send ten requests each to 20 workers within one second.
+    # 100 routers send ten requests each to 20 workers within one second. At the end of that second, the
+    # capacity of a worker is 0.2 + 0.8 x 1 s / 10 s = 0.28, and the overload multiple is 2.
     requests_per_worker = 100 * 10 / 20
     assert 0 < most_sends_to_a_worker(sent_to) <= 2.0 * 0.28 * requests_per_worker
 
 
 @pytest.mark.parametrize(
-    ("requests_per_second", "workers_left"),  # the rate is that of each router, whose share of the quota is 1
+    # The rate is that of each router, whose share of the quota is 1 request per second.
+    ("requests_per_second", "workers_left"),
     [
         pytest.param(6, 20, id="burst"),
         pytest.param(2, 5, id="most-workers-removed"),
