--- a/function_router/net/attempt_report.py
+++ b/function_router/net/attempt_report.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 from function_router.decisions.types import Outcome, StartKind
-from function_router.net.close_reason import outcome_of
+from function_router.net.close_reason import outcome_without_answer
 from function_router.net.worker_messages import Attempt, Result, WorkerAnswer
 
 # Maximum number of requests in flight that is reported to the decision module; a larger one is reported as
@@ -37,7 +37,7 @@
             reports_in_flight: Whether workers state in their answers how many requests are in flight.
         """
         if not isinstance(result, WorkerAnswer):
-            outcome = outcome_of(result, is_started=attempt.is_started)
+            outcome = outcome_without_answer(result, is_started=attempt.is_started)
             cause = f" ({attempt.not_sent_reason.name})" if attempt.not_sent_reason else ""
             return cls(outcome, StartKind.UNKNOWN, None, result.name + cause)
         in_flight = _in_flight(result) if reports_in_flight else None
--- a/function_router/net/close_reason.py
+++ b/function_router/net/close_reason.py
@@ -113,7 +113,7 @@
     return reason in _CONNECTION_LOSSES
 
 
-def outcome_of(reason: CloseReason, *, is_started: bool) -> Outcome:
+def outcome_without_answer(reason: CloseReason, *, is_started: bool) -> Outcome:
     """Return the outcome of an exchange that ended without an answer.
 
     Args:
@@ -124,7 +124,7 @@
     return outcomes.if_started if is_started else outcomes.if_not_started
 
 
-def reason_of_local_error(error: OSError) -> CloseReason:
+def reason_of_immediate_error(error: OSError) -> CloseReason:
     """Return the close reason of a connection for which a system call on this machine failed at once."""
     if error.errno in _DESCRIPTOR_LIMIT_ERRORS:
         return CloseReason.NO_FILE_DESCRIPTOR
--- a/function_router/net/connection.py
+++ b/function_router/net/connection.py
@@ -6,7 +6,7 @@
 from function_router.config import Address
 from function_router.net import sockets
 from function_router.net.clock import monotonic_ms
-from function_router.net.close_reason import CloseReason, reason_of_connect_error, reason_of_local_error
+from function_router.net.close_reason import CloseReason, reason_of_connect_error, reason_of_immediate_error
 from function_router.net.connection_handler import CLOSED_CONNECTION_HANDLER, ConnectionHandler
 from function_router.net.event_loop import READ, WRITE, EventLoop
 from function_router.net.socket_reader import SocketReader
@@ -103,12 +103,12 @@
         try:
             sock = sockets.begin_connect(address)
         except OSError as error:
-            return reason_of_local_error(error)
+            return reason_of_immediate_error(error)
         try:
             connection = cls(loop, sock, handler, is_connected=False)
         except OSError as error:  # the selector cannot watch it
             sock.close()
-            return reason_of_local_error(error)
+            return reason_of_immediate_error(error)
         connection._connect_timer = loop.timers.call_later(
             timeout_ms, lambda: connection.close(CloseReason.CONNECT_TIMEOUT)
         )
--- a/function_router/net/endpoint_log_client.py
+++ b/function_router/net/endpoint_log_client.py
@@ -143,8 +143,8 @@
         if connection is None or not connection.is_connected:
             return
         now_ms = monotonic_ms()
-        is_in_line = bool(self._partial_line) and now_ms - self._last_line_ms <= MAX_LINE_DURATION_MS
-        last_progress_ms = connection.last_received_ms if is_in_line else self._last_line_ms
+        is_receiving_line = bool(self._partial_line) and now_ms - self._last_line_ms <= MAX_LINE_DURATION_MS
+        last_progress_ms = connection.last_received_ms if is_receiving_line else self._last_line_ms
         if now_ms - last_progress_ms > SILENCE_TIMEOUT_MS:
             self.request_again("no line received in time")
         elif self._is_delayed and now_ms - self._last_connect_ms > DELAYED_LOG_RETRY_MS:
--- a/function_router/net/endpoint_watch.py
+++ b/function_router/net/endpoint_watch.py
@@ -130,14 +130,12 @@
         """
         if self._tracker.is_applied(event.sequence):
             return True
-        is_ahead_of_gap = not is_initial and self._tracker.has_gap_before(event.sequence)
-        if is_ahead_of_gap and not event.is_snapshot:
+        is_after_gap = not is_initial and self._tracker.has_gap_before(event.sequence)
+        if is_after_gap and not event.is_snapshot:
             return False
         if not self._deliver(event):
             return False
-        self._tracker.record_applied(
-            event.sequence, is_ahead_of_gap=is_ahead_of_gap, is_snapshot=event.is_snapshot
-        )
+        self._tracker.record_applied(event.sequence, is_after_gap=is_after_gap, is_snapshot=event.is_snapshot)
         self.client.reset_backoff()
         return True
 
--- a/function_router/net/health_checks.py
+++ b/function_router/net/health_checks.py
@@ -5,7 +5,7 @@
 from function_router.decisions.actions import CheckHealth
 from function_router.decisions.events import HealthChecked
 from function_router.decisions.types import Outcome, Readiness
-from function_router.net.close_reason import outcome_of
+from function_router.net.close_reason import outcome_without_answer
 from function_router.net.event_loop import EventLoop
 from function_router.net.telemetry import HEALTH_CHECKS, Telemetry
 from function_router.net.worker_messages import HealthCheck, Result, WorkerAnswer
@@ -49,7 +49,7 @@
             outcome = result.outcome
             readiness = result.readiness
         else:
-            outcome = outcome_of(result, is_started=check.is_started)
+            outcome = outcome_without_answer(result, is_started=check.is_started)
             readiness = Readiness.UNKNOWN
         description = readiness.name if outcome is Outcome.OK else outcome.name
         self._telemetry.count(HEALTH_CHECKS, description)
--- a/function_router/net/pooled_worker.py
+++ b/function_router/net/pooled_worker.py
@@ -34,7 +34,7 @@
         "_connect_retry",
         "_on_unused",
         "_resources",
-        "_started_at_ms",
+        "_started_at_unix_ms",
         "address",
         "connections",
         "queue",
@@ -47,7 +47,7 @@
         worker_id: int,
         address: Address,
         state: WorkerState,
-        started_at_ms: float,
+        started_at_unix_ms: float,
         resources: PoolResources,
         on_unused: Callable[[int], None],
     ) -> None:
@@ -57,7 +57,7 @@
             worker_id: The id of the worker.
             address: The address on which the worker listens.
             state: The state of the worker in the endpoint list.
-            started_at_ms: When the worker's process started, in Unix time; 0 if unknown.
+            started_at_unix_ms: When the worker's process started, in Unix time; 0 if unknown.
             resources: The resources that the workers of the pool share.
             on_unused: Called with the id once the worker is removed and has no connection and no exchange.
         """
@@ -66,27 +66,27 @@
         self.state = state
         self.connections = ConnectionSet(resources)
         self.queue = ExchangeQueue()
-        self._started_at_ms = started_at_ms
+        self._started_at_unix_ms = started_at_unix_ms
         self._resources = resources
         self._on_unused = on_unused
         self._connect_retry = ConnectRetry(resources.loop.timers)
 
     # --- endpoint -----------------------------------------------------------------------------
 
-    def update(self, address: Address | None, state: WorkerState, started_at_ms: float) -> None:
+    def update(self, address: Address | None, state: WorkerState, started_at_unix_ms: float) -> None:
         """Apply a new record of the worker in the endpoint list.
 
         Args:
             address: The address on which the worker listens; None leaves it unchanged.
             state: The state of the worker.
-            started_at_ms: When the worker's process started, in Unix time; 0 if unknown.
+            started_at_unix_ms: When the worker's process started, in Unix time; 0 if unknown.
         """
-        is_replaced = self._is_replaced_by(address, started_at_ms)
+        is_replaced = self._is_replaced_by(address, started_at_unix_ms)
         if is_replaced:
             self.connections.retire_all()
         self.address = address or self.address
         self.state = state
-        self._started_at_ms = max(started_at_ms, self._started_at_ms)
+        self._started_at_unix_ms = max(started_at_unix_ms, self._started_at_unix_ms)
         if state is not WorkerState.READY:
             self._abort_unsendable()
         if is_replaced and self.queue:  # connects in progress lead to the earlier process
@@ -95,10 +95,10 @@
             self.connections.retire_all()
             self._report_if_unused()
 
-    def _is_replaced_by(self, address: Address | None, started_at_ms: float) -> bool:
+    def _is_replaced_by(self, address: Address | None, started_at_unix_ms: float) -> bool:
         """Return whether an endpoint record shows a new process, by a new address or a later start."""
         has_moved = address is not None and address != self.address
-        return has_moved or started_at_ms > self._started_at_ms
+        return has_moved or started_at_unix_ms > self._started_at_unix_ms
 
     def _abort_unsendable(self) -> None:
         """Abort the unwritten exchanges that the worker's state does not allow any more."""
--- a/function_router/net/sequence_tracker.py
+++ b/function_router/net/sequence_tracker.py
@@ -73,13 +73,11 @@
         """Mark all events up to this number as applied."""
         self.last_sequence = max(self.last_sequence, sequence)
 
-    def record_applied(
-        self, sequence: int, *, is_ahead_of_gap: bool = False, is_snapshot: bool = False
-    ) -> None:
+    def record_applied(self, sequence: int, *, is_after_gap: bool = False, is_snapshot: bool = False) -> None:
         """Record an applied event; only a snapshot may be applied ahead of a gap, and it fills the gap."""
         if is_snapshot or sequence == self._unreadable_sequence:
             self._unreadable_sequence = None
-        if is_ahead_of_gap:
+        if is_after_gap:
             self._sequence_before_snapshot = self.last_sequence
         self.last_sequence = sequence
         self._invalid_line_position = None
--- a/function_router/net/start_orders.py
+++ b/function_router/net/start_orders.py
@@ -5,7 +5,7 @@
 from function_router.decisions.actions import EnsureInstances
 from function_router.decisions.events import InstancesReported
 from function_router.net.clock import Clock, monotonic_ms
-from function_router.net.close_reason import outcome_of
+from function_router.net.close_reason import outcome_without_answer
 from function_router.net.event_loop import EventLoop
 from function_router.net.not_sent_reason import NotSentReason
 from function_router.net.worker_messages import Result, StartOrder, WorkerAnswer
@@ -90,7 +90,7 @@
             outcome = result.outcome
             instances = result.instances
         else:
-            outcome = outcome_of(result, is_started=order.is_started)
+            outcome = outcome_without_answer(result, is_started=order.is_started)
             instances = 0
         self._add_trace_step(order.function, f"{order.worker_id}: {outcome.name} instances {instances}")
         duration_ms = monotonic_ms() - order.created_at_ms
--- a/function_router/net/start_times.py
+++ b/function_router/net/start_times.py
@@ -57,14 +57,14 @@
         if previous is not None and previous.unix_ms == started_at_unix_ms:
             return previous.started_at_ms
         now_ms = self._clock.now_ms()
-        age_ms = self._youngest_age_ms(started_at_unix_ms)
+        age_ms = self._lowest_age_ms(started_at_unix_ms)
         if is_live_update and age_ms > now_ms - self._caught_up_at_ms + MAX_LIVE_UPDATE_AGE_MS:
             age_ms = 0.0  # the age is implausible, so the wall clock must be wrong
         converted = _ConvertedStart(started_at_unix_ms, now_ms - age_ms)
         self._converted[worker_id] = converted
         return converted.started_at_ms
 
-    def _youngest_age_ms(self, started_at_unix_ms: float) -> float:
+    def _lowest_age_ms(self, started_at_unix_ms: float) -> float:
         """Return the lowest age for all offsets of the wall clock so far, ignoring starts in the future."""
         ages_ms = [unix_ms - started_at_unix_ms for unix_ms in self._clock.possible_unix_times_ms()]
         possible = [max(0.0, age_ms) for age_ms in ages_ms if age_ms >= -MAX_CLOCK_DIFFERENCE_MS]
--- a/function_router/net/worker_pool.py
+++ b/function_router/net/worker_pool.py
@@ -68,7 +68,7 @@
     # --- endpoints ----------------------------------------------------------------------------
 
     def update_endpoint(
-        self, worker_id: int, address: Address | None, state: WorkerState, started_at_ms: float
+        self, worker_id: int, address: Address | None, state: WorkerState, started_at_unix_ms: float
     ) -> None:
         """Apply a record of the endpoint list, and add the worker if it is new.
 
@@ -76,14 +76,14 @@
             worker_id: The id of the worker.
             address: The address on which the worker listens; None leaves it unchanged.
             state: The state of the worker.
-            started_at_ms: When the worker's process started, in Unix time; 0 if unknown.
+            started_at_unix_ms: When the worker's process started, in Unix time; 0 if unknown.
         """
         worker = self.workers.get(worker_id)
         if worker is not None:
-            worker.update(address, state, started_at_ms)
+            worker.update(address, state, started_at_unix_ms)
         elif address is not None and state is not WorkerState.REMOVED:
             self.workers[worker_id] = PooledWorker(
-                worker_id, address, state, started_at_ms, self._resources, on_unused=self._remove_worker
+                worker_id, address, state, started_at_unix_ms, self._resources, on_unused=self._remove_worker
             )
 
     def workers_at(self, address: Address) -> list[int]:
--- a/tests/net/test_close_reason.py
+++ b/tests/net/test_close_reason.py
@@ -7,10 +7,10 @@
 from function_router.decisions.types import Outcome
 from function_router.net.close_reason import (
     CloseReason,
-    outcome_of,
+    outcome_without_answer,
     reason_of_broken_connection,
     reason_of_connect_error,
-    reason_of_local_error,
+    reason_of_immediate_error,
 )
 from function_router.net.endpoint_registry import worker_id_of
 
@@ -19,17 +19,17 @@
 
 @pytest.mark.parametrize("reason", CloseReason)
 def test_started_exchange_is_never_reported_as_not_run(reason):
-    assert outcome_of(reason, is_started=True) not in NOT_RUN_OUTCOMES
+    assert outcome_without_answer(reason, is_started=True) not in NOT_RUN_OUTCOMES
 
 
 @pytest.mark.parametrize("reason", [reason for reason in CloseReason if reason is not CloseReason.CANCELLED])
 def test_exchange_that_was_not_started_is_reported_as_not_run(reason):
-    assert outcome_of(reason, is_started=False) in NOT_RUN_OUTCOMES
+    assert outcome_without_answer(reason, is_started=False) in NOT_RUN_OUTCOMES
 
 
 @pytest.mark.parametrize("is_started", [False, True])
 def test_cancelled_exchange_is_reported_as_cancelled(is_started):
-    assert outcome_of(CloseReason.CANCELLED, is_started=is_started) is Outcome.CANCELLED
+    assert outcome_without_answer(CloseReason.CANCELLED, is_started=is_started) is Outcome.CANCELLED
 
 
 @pytest.mark.parametrize(
@@ -47,7 +47,7 @@
     ],
 )
 def test_connect_that_fails_at_once_has_a_close_reason(error_number, reason):
-    assert reason_of_local_error(OSError(error_number, "connect")) is reason
+    assert reason_of_immediate_error(OSError(error_number, "connect")) is reason
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_connect_retry.py
+++ b/tests/net/test_connect_retry.py
@@ -12,7 +12,7 @@
 
 from function_router.decisions.types import Outcome, WorkerState
 from function_router.net import connect_retry
-from function_router.net.close_reason import CloseReason, outcome_of
+from function_router.net.close_reason import CloseReason, outcome_without_answer
 from function_router.net.connect_retry import MAX_RETRY_DURATION_MS, RETRY_INTERVAL_MS, ConnectRetry
 from function_router.net.timer_wheel import TICK_MS, TimerWheel
 
@@ -141,5 +141,5 @@
         harness.run_until(lambda: results, "the attempt finishes")
 
     assert results == [(CloseReason.LOCAL_FAILURE, False)]
-    assert outcome_of(CloseReason.LOCAL_FAILURE, is_started=False) is Outcome.NOT_SENT
+    assert outcome_without_answer(CloseReason.LOCAL_FAILURE, is_started=False) is Outcome.NOT_SENT
     assert 2 <= connect.call_count <= 12
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -135,7 +135,7 @@
     assert list(harness.pool.workers) == [endpoint_registry.worker_id_of("s-2")]
 
 
-def test_snapshot_ahead_of_a_gap_is_applied_as_it_replaces_all_events_before(start_router):
+def test_snapshot_after_a_gap_is_applied_as_it_replaces_all_events_before(start_router):
     worker = FakeWorker("s-1")
     new = FakeWorker("s-2")
     harness = start_router(worker)
--- a/tests/net/test_sequence_tracker.py
+++ b/tests/net/test_sequence_tracker.py
@@ -41,7 +41,7 @@
 def test_invalid_line_after_an_applied_event_is_requested_again(tracker):
     tracker.record_invalid_line()
 
-    tracker.record_applied(6, is_ahead_of_gap=False)
+    tracker.record_applied(6, is_after_gap=False)
 
     assert not tracker.awaits_repeat
     assert tracker.record_invalid_line() is InvalidLineResponse.REQUEST_AGAIN
@@ -87,7 +87,7 @@
 
 
 def test_snapshot_beyond_the_announced_sequence_is_revoked(tracker):
-    tracker.record_applied(99, is_ahead_of_gap=True)
+    tracker.record_applied(99, is_after_gap=True)
 
     announcement = tracker.record_announcement(6, may_repeat_request=False)
 
@@ -97,7 +97,7 @@
 
 
 def test_snapshot_confirmed_by_an_announcement_is_kept(tracker):
-    tracker.record_applied(99, is_ahead_of_gap=True)
+    tracker.record_applied(99, is_after_gap=True)
 
     confirmed = tracker.record_announcement(99, may_repeat_request=False)
     later = tracker.record_announcement(6, may_repeat_request=False)
