--- a/function_router/net/close_reason.py
+++ b/function_router/net/close_reason.py
@@ -15,7 +15,7 @@
     CONNECTION_REFUSED = auto()  # the peer's host refused the connection
     UNREACHABLE = auto()  # the connect failed with an error that no other member stands for
     CONNECT_TIMEOUT = auto()  # the connect took too long
-    NO_FILE_DESCRIPTOR = auto()  # this machine has no file descriptor left
+    NO_FILE_DESCRIPTOR = auto()  # this process or this machine has no file descriptor left
     CONNECTION_LIMIT = auto()  # as many connections as the limits allow are open
     LOCAL_FAILURE = auto()  # a system call failed for a reason that says nothing about the peer
     CLOSED_BY_PEER = auto()  # the peer closed the connection
@@ -25,7 +25,7 @@
     READ_TIMEOUT = auto()  # nothing was received for too long
     IDLE = auto()  # this router closed the connection, with nothing pending on it
     ENDPOINT_REPLACED = auto()  # this router closed it as the worker was removed, moved or restarted
-    DRAINING = auto()  # the worker accepts no new work
+    DRAINING = auto()  # the worker is draining or was removed: the exchange must not be sent
     NOT_SENT = auto()  # no byte was written, for a reason that is unrelated to the connection
     CANCELLED = auto()  # the decision module cancelled the exchange
     DEADLINE_EXCEEDED = auto()  # no answer arrived in time
@@ -95,7 +95,7 @@
 )
 
 
-# Reasons whose cause lies outside this router: the peer's process or machine may have terminated.
+# Reasons with a cause outside this router: the peer's process or machine may have terminated.
 _CONNECTION_LOSSES = frozenset(
     {
         CloseReason.CONNECTION_REFUSED,
@@ -109,7 +109,7 @@
 
 
 def is_connection_loss(reason: CloseReason) -> bool:
-    """Return whether a connection was lost: the peer or the network ended it, or it fell silent."""
+    """Return whether a connection was lost, or could not be established, for a cause outside this router."""
     return reason in _CONNECTION_LOSSES
 
 
@@ -125,7 +125,7 @@
 
 
 def reason_of_immediate_error(error: OSError) -> CloseReason:
-    """Return the close reason of a connection for which a system call on this machine failed at once."""
+    """Return the close reason of a connect that failed at once, before it was in progress."""
     if error.errno in _DESCRIPTOR_LIMIT_ERRORS:
         return CloseReason.NO_FILE_DESCRIPTOR
     if error.errno in _LOCAL_ERRORS:
--- a/function_router/net/connection_set.py
+++ b/function_router/net/connection_set.py
@@ -24,8 +24,9 @@
     finished, gets no new exchange and doesn't count towards the worker's limit of connections.
 
     Attributes:
-        last_lost_ms: When a connection was last lost (see `is_connection_loss`), on the monotonic clock; None
-            if none was.
+        last_lost_ms: When a connection to the current process was last lost or could not be established, on
+            the monotonic clock; None if that has not happened. Only reasons for which `is_connection_loss`
+            returns True count.
     """
 
     __slots__ = ("_connections", "_resources", "last_lost_ms")
@@ -155,7 +156,11 @@
             connection.retire()
 
     def discard(self, connection: WorkerConnection, reason: CloseReason) -> None:
-        """Remove a closed connection, on which `take_all_exchanges` must not have been called yet."""
+        """Remove a closed connection.
+
+        `take_all_exchanges` must not have been called on the connection yet: its exchanges show whether it
+        broke while in use, and so whether it was stale.
+        """
         resources = self._resources
         self._connections.remove(connection)
         resources.budget.on_closed()
--- a/function_router/net/endpoint_list_status.py
+++ b/function_router/net/endpoint_list_status.py
@@ -39,8 +39,9 @@
     def on_confirmed(self) -> None:
         """Report that all events of the log have been received.
 
-        The list counts as confirmed as of the poll before the last one. The announcement had not arrived by
-        that poll, but may have arrived right after it, as the process may have been suspended since then.
+        The announcement arrived after the poll before the last one, but perhaps long before the last poll, as
+        the process may have been suspended in between. The list therefore counts as confirmed as of the
+        earlier poll.
         """
         self._start_times.on_caught_up()
         self._confirmed_at_ms = self._loop.clock.from_monotonic_ms(self._loop.previous_poll_ms)
--- a/function_router/net/endpoint_log_client.py
+++ b/function_router/net/endpoint_log_client.py
@@ -13,14 +13,14 @@
 from function_router.net.event_loop import EventLoop
 from function_router.net.timer_wheel import Timer
 
-# Silence after which events are requested again. The log sends a heartbeat each second. An event that a
-# silent log delays counts as published after 4 s.
+# Silence after which events are requested again. The log sends a heartbeat each second. If a silent log
+# delays an event, the router is expected to know the event 4 s after its publication.
 SILENCE_TIMEOUT_MS = 2_000.0
 # Maximum duration of one line whose bytes keep arriving, such as a complete list over a slow or congested
 # network.
 MAX_LINE_DURATION_MS = 30_000.0
-# Delay of a reconnect. An event that is published while the connection is broken counts as published after
-# 2 s.
+# Delay of a reconnect. If an event is published while the connection is broken, the router is expected to
+# know the event 2 s after its publication.
 RECONNECT_DELAY_MS = 200.0
 # Interval of the heartbeats of the log. The log sends the first one within this time after a request.
 HEARTBEAT_INTERVAL_MS = 1_000.0
@@ -181,7 +181,7 @@
         """Do nothing, as the only request is small."""
 
     def on_write_delayed(self) -> None:
-        """Do nothing, as the only request is small."""
+        """Do nothing, as a delayed request is still valid."""
 
     def on_closed(self, reason: CloseReason) -> None:
         """Reconnect after a delay, unless the client itself closed the connection."""
--- a/function_router/net/endpoint_watch.py
+++ b/function_router/net/endpoint_watch.py
@@ -23,8 +23,10 @@
 class EndpointWatch:
     """Follows the endpoint log, and applies each event once and in order.
 
-    Missing events are requested again until they arrive. An invalid line, or an event ahead of a gap, is
-    requested again once and then skipped. The watch owns the client of the log and the position in the log.
+    Events that the log announces are requested again until they arrive or are skipped. After an invalid
+    line, or an event after a gap, events are requested again once. If another such line follows at the same
+    position, the invalid line or the gap is skipped. The watch owns the client of the log and the position in
+    the log.
 
     Args:
         loop: The event loop.
@@ -107,8 +109,8 @@
     def _on_invalid_line(self, event: EndpointEvent | None, line: bytes) -> None:
         """Request the next event again, or skip it if it was already requested again.
 
-        After the skip of a gap, the event ahead of the gap is applied. Events in the gap are still applied if
-        they arrive later.
+        When a gap is skipped, the event after the gap is applied. Events in the gap are still applied if they
+        arrive later.
         """
         if self._tracker.record_invalid_line() is InvalidLineResponse.REQUEST_AGAIN:
             self.client.request_again(f"invalid or unexpected line: {line[:MAX_QUOTED_LINE_BYTES]!r}")
@@ -125,7 +127,7 @@
     def _try_apply(self, event: EndpointEvent, *, is_initial: bool = False) -> bool:
         """Apply an event, and return False if the event is invalid or out of order.
 
-        An event that was applied before is ignored. A snapshot may be applied ahead of a gap, and so may any
+        An event that was applied before is ignored. A snapshot may be applied after a gap, and so may any
         initial event.
         """
         if self._tracker.is_applied(event.sequence):
--- a/function_router/net/health_checks.py
+++ b/function_router/net/health_checks.py
@@ -1,4 +1,4 @@
-"""Sending of the health checks that the decision module requests, and reports of their results."""
+"""Sends the health checks that the decision module requests, and reports their results."""
 
 from collections.abc import Callable
 
--- a/function_router/net/invariants.py
+++ b/function_router/net/invariants.py
@@ -12,7 +12,7 @@
 LOG_SOURCE = "invariants"
 LOG_PREFIX = "invariant violated"
 
-# Maximum lateness of an answer. An answer may leave after its deadline, as an iteration of the event loop may
+# Maximum lateness of an answer. An answer may leave after its deadline, as a turn of the event loop may
 # stall.
 MAX_LATENESS_MS = 400.0
 # Maximum time by which an attempt's timeout may exceed its client's remaining time. The operator allows
--- a/function_router/net/pool_resources.py
+++ b/function_router/net/pool_resources.py
@@ -16,7 +16,7 @@
     Attributes:
         loop: The event loop that serves the connections.
         transport: Timeouts and limits of the transport.
-        telemetry: Counts sent exchanges and closed connections, and logs protocol errors of workers.
+        telemetry: Counts dispatched exchanges and closed connections; logs protocol errors of workers.
         budget: The limit on the connections to all workers together.
         idle_limit: The limit on the idle time after which a connection is not used again.
         readiness: Decides which connections may carry new work.
--- a/function_router/net/pooled_worker.py
+++ b/function_router/net/pooled_worker.py
@@ -134,19 +134,20 @@
             self._assign(exchange, connection)
 
     def _latest_connection_ms(self, exchange: Exchange) -> float:
-        """Return the latest time at which a connection that may carry the exchange was established.
+        """Return the time by which a connection must have been established to carry the exchange.
 
-        The time is infinite if any connection may carry the exchange.
+        The time is infinite if any connection may carry the exchange, and negative infinite if none may.
         """
         if not exchange.is_new_work:
             return math.inf
         return self._resources.readiness.latest_connection_ms(self.worker_id)
 
     def _assign(self, exchange: Exchange, connection: WorkerConnection) -> None:
-        """Assign an exchange to a connection, and open a spare connection for the next exchange if needed.
+        """Assign an exchange to a connection, and open a spare connection if the next exchange may need it.
 
-        A spare connection is needed if this connection already carried an attempt, or if the settings allow
-        connections to be opened in advance. A health check needs none, as workers answer it at once.
+        A spare connection is considered if an attempt is already in flight on the connection, or if the
+        settings allow connections to be opened in advance. A health check requires no spare connection, as
+        workers answer it at once.
         """
         is_shared = connection.has_attempt_in_flight
         connection.assign(exchange)
--- a/function_router/net/readiness.py
+++ b/function_router/net/readiness.py
@@ -10,10 +10,10 @@
     """Decides which workers may get new work, and when; all times are on the decision module's clock."""
 
     def latest_connection_ms(self, worker_id: int, now_ms: float) -> float:
-        """Return the latest time at which a connection that may carry new work now was established.
+        """Return the time by which a connection must have been established to carry new work to a worker now.
 
-        The result is infinite if any connection to the worker may carry new work, and negative infinite if
-        none may.
+        The time is infinite if any connection to the worker may carry new work, and negative infinite if none
+        may.
         """
 
     def is_within_drain_grace(self, worker_id: int, at_ms: float) -> bool:
@@ -43,7 +43,10 @@
         self._policy = policy
 
     def latest_connection_ms(self, worker_id: int) -> float:
-        """Return the latest time at which a connection that may carry new work now was established."""
+        """Return the time, on the monotonic clock, by which a connection must have been established.
+
+        A connection that was established later must not carry new work to the worker now.
+        """
         now_ms = self._clock.from_monotonic_ms(monotonic_ms())
         return self._clock.to_monotonic_ms(self._policy.latest_connection_ms(worker_id, now_ms))
 
--- a/function_router/net/send_checks.py
+++ b/function_router/net/send_checks.py
@@ -2,8 +2,13 @@
 
 The decision module decides what to send. The decision may be out of date when the first byte can be written:
 the exchange may have been queued for a connection, or behind bytes that the worker was slow to read. The
-rules that apply when a request or an order arrives at the worker are therefore checked again, only here, each
-time that a first byte could be written.
+rules that apply when a request or an order arrives at the worker are therefore checked again each time that a
+first byte could be written.
+
+This module has the rules about the worker, the connection, the client and the idempotency window. Two more
+rules are checked by the `reason_not_to_send` of an exchange: `function_router.net.attempts_in_flight` checks
+whether the request of an attempt is finished, and `function_router.net.start_orders` checks the rate limit
+of start orders.
 """
 
 from collections.abc import Iterable, Iterator
@@ -41,8 +46,8 @@
     Args:
         exchange: The exchange.
         connected_at_ms: When the connection was established.
-        latest_connection_ms: The latest time at which a connection to a process that is known to be ready was
-            established; see `function_router.net.readiness`.
+        latest_connection_ms: The time by which a connection must have been established to lead to a process
+            that is known to be ready; see `function_router.net.readiness`.
     """
     if exchange.is_new_work and connected_at_ms > latest_connection_ms:
         return NotSentReason.READINESS_UNPROVEN
--- a/function_router/net/sequence_tracker.py
+++ b/function_router/net/sequence_tracker.py
@@ -11,7 +11,7 @@
     EVENTS_STILL_MISSING = auto()  # events are missing, but the last request is too recent to be repeated
     EVENT_UNREADABLE = auto()  # an unreadable event was skipped, and no snapshot has been applied since
     LOG_IS_BEHIND = auto()  # the announced number is below that of the last applied event
-    SNAPSHOT_REVOKED = auto()  # a snapshot ahead of a gap had a sequence number beyond the end of the log
+    SNAPSHOT_REVOKED = auto()  # a snapshot after a gap had a sequence number beyond the end of the log
 
 
 class InvalidLineResponse(Enum):
@@ -47,7 +47,7 @@
         self._unreadable_sequence: int | None = None  # the last number skipped as its line was unreadable
         self._invalid_line_position: int | None = None  # position at which an invalid line led to a request
         self._missing_after: int | None = None  # `last_sequence` when missing events led to a request
-        # The value of `last_sequence` before a snapshot ahead of a gap was applied. It is kept until an
+        # The value of `last_sequence` before a snapshot after a gap was applied. It is kept until an
         # announcement confirms the number of the snapshot.
         self._sequence_before_snapshot: int | None = None
 
@@ -74,7 +74,7 @@
         self.last_sequence = max(self.last_sequence, sequence)
 
     def record_applied(self, sequence: int, *, is_after_gap: bool = False, is_snapshot: bool = False) -> None:
-        """Record an applied event; only a snapshot may be applied ahead of a gap, and it fills the gap."""
+        """Record an applied event; only a snapshot may be applied after a gap, and it fills the gap."""
         if is_snapshot or sequence == self._unreadable_sequence:
             self._unreadable_sequence = None
         if is_after_gap:
--- a/function_router/net/start_orders.py
+++ b/function_router/net/start_orders.py
@@ -1,4 +1,4 @@
-"""Sending of the start orders and probes that the decision module requests, and reports of their results."""
+"""Sends the start orders and probes that the decision module requests, and reports their results."""
 
 from collections.abc import Callable
 
@@ -24,7 +24,7 @@
     """Decides whether a start order may be sent, each time that its first byte could be written.
 
     An order may be queued for a long time. It counts towards the rate limit as of when it is sent. Once the
-    limit has stopped an order, that order may never be sent.
+    limit has stopped an order, that order is never sent.
     """
 
     __slots__ = ("_clock", "_counted_at_ms", "_revalidate")
--- a/function_router/net/start_times.py
+++ b/function_router/net/start_times.py
@@ -43,11 +43,12 @@
     def convert(
         self, worker_id: int, started_at_unix_ms: float | None, *, is_live_update: bool
     ) -> float | None:
-        """Return the start time on the decision module's clock; None if the start was long ago.
+        """Return the start time on the decision module's clock; None if the list has no start time.
 
         Args:
             worker_id: The id of the worker.
-            started_at_unix_ms: The start time in the endpoint list; None if the list has no start time.
+            started_at_unix_ms: The start time in the endpoint list; None if the list has no start time, in
+                which case the start counts as long ago.
             is_live_update: Whether the log has just published the start, as opposed to a complete list.
         """
         if started_at_unix_ms is None:
@@ -65,7 +66,11 @@
         return converted.started_at_ms
 
     def _lowest_age_ms(self, started_at_unix_ms: float) -> float:
-        """Return the lowest age for all offsets of the wall clock so far, ignoring starts in the future."""
+        """Return the lowest age for all recorded offsets of the wall clock.
+
+        An offset by which the start lies in the future is ignored if the difference exceeds
+        MAX_CLOCK_DIFFERENCE_MS, and yields the age 0 otherwise.
+        """
         ages_ms = [unix_ms - started_at_unix_ms for unix_ms in self._clock.possible_unix_times_ms()]
         possible = [max(0.0, age_ms) for age_ms in ages_ms if age_ms >= -MAX_CLOCK_DIFFERENCE_MS]
         return min(possible, default=0.0)
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -192,7 +192,7 @@
         self._unwritten_at_flush.append(exchange)
 
     def remove(self, exchange: Exchange) -> None:
-        """Remove an exchange without an answer; cancel an attempt that the worker may have received."""
+        """Remove an exchange without an answer; if it is a started attempt, notify the worker."""
         self.exchanges.pop(exchange.exchange_id, None)
         pending_write = exchange.pending_write
         if pending_write is not None and self.connection.cancel_write(pending_write):
--- a/function_router/net/worker_messages.py
+++ b/function_router/net/worker_messages.py
@@ -180,7 +180,10 @@
         self.pending_write = None
 
     def abort(self, reason: CloseReason) -> None:
-        """Finish the exchange without an answer; cancel an attempt that the worker may have received."""
+        """Finish the exchange without an answer.
+
+        If the exchange is an attempt that the worker may have received, the worker is notified.
+        """
         if self.is_done:
             return
         if self.holder is not None:
@@ -265,14 +268,14 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class StartOrder(Exchange):
-    """An order to keep at least `instances` instances of a function running; a probe if `instances` is 0.
+    """An order to start instances of a function until the worker has `instances` of them; a probe if it is 0.
 
     A probe starts no instance: it asks how many instances the worker has.
 
     Attributes:
         on_done: Called once, with the order and its result.
         function: The function to start.
-        instances: How many instances the worker should have.
+        instances: How many instances the worker should have; 0 for a probe.
     """
 
     on_done: Callable[["StartOrder", Result], None]
@@ -281,7 +284,7 @@
 
     @property
     def is_new_work(self) -> bool:
-        """Whether the order is more than a probe."""
+        """Whether the order starts instances; a probe is not new work."""
         return self.instances > 0
 
     def encode(self) -> bytes:
--- a/function_router/net/worker_pool.py
+++ b/function_router/net/worker_pool.py
@@ -20,7 +20,7 @@
 
 EXCHANGE_ID_BYTES = 8
 # Size of the first id of start orders and health checks. The id is random, so that routers don't use the same
-# ids.
+# ids. It leaves two bits of EXCHANGE_ID_BYTES free, so that the ids that follow it fit, too.
 FIRST_EXCHANGE_ID_BITS = 62
 # Timeout of a health check. Workers answer health checks at once, whatever functions they run.
 HEALTH_CHECK_TIMEOUT_MS = 1_000.0
@@ -51,7 +51,7 @@
             transport: Timeouts and limits of the transport.
             max_connections: The maximum number of connections to all workers together.
             seed: The seed of the first id of start orders and health checks.
-            telemetry: Counts sent exchanges and closed connections, and logs protocol errors of workers.
+            telemetry: Counts dispatched exchanges and closed connections; logs protocol errors of workers.
             readiness: Decides which workers may get new work; None allows it to all workers.
         """
         self.workers: dict[int, PooledWorker] = {}
@@ -95,7 +95,7 @@
         ]
 
     def connection_lost_at_ms(self, worker_id: int) -> float | None:
-        """Return when a connection to a worker was last lost, on the monotonic clock; None if none was."""
+        """Return `ConnectionSet.last_lost_ms` of a worker; None if the pool does not have the worker."""
         worker = self.workers.get(worker_id)
         return None if worker is None else worker.connections.last_lost_ms
 
@@ -135,7 +135,10 @@
         return next(self._exchange_ids).to_bytes(EXCHANGE_ID_BYTES, "big")
 
     def cancel(self, exchange: Exchange) -> None:
-        """Cancel an exchange unless it is done; also cancel an attempt that the worker may have received."""
+        """Cancel an exchange unless it is done.
+
+        If the exchange is an attempt that the worker may have received, the worker is notified.
+        """
         exchange.abort(CloseReason.CANCELLED)
 
     def cancel_if_unsent(self, exchange: Exchange) -> None:
--- a/tests/net/test_endpoint_list_status.py
+++ b/tests/net/test_endpoint_list_status.py
@@ -68,7 +68,11 @@
 
 
 def skip_unreadable_event(harness):
-    """Have the log send an unreadable event, repeat it on request, and then announce its number."""
+    """Have the log send an unreadable event, repeat it on request, and then announce its number.
+
+    The first copy of the event leads to the second request to the log. The second copy is skipped and leads
+    to no other request, so that the number of requests stays 2.
+    """
     for count in (2, 2):
         harness.endpoint_log.send_line(UNREADABLE_EVENT)
         harness.run_until(
--- a/tests/net/test_worker_connection.py
+++ b/tests/net/test_worker_connection.py
@@ -14,7 +14,7 @@
 from function_router.net.codecs import worker_frames
 from function_router.net.event_loop import WRITE
 
-# Codes of answers, as documented.
+# Codes of answers, as literals, so that a change of the codec's constants fails the tests.
 NOT_LOADED = 2
 QUEUE_FULL = 3
 INVALID_FRAME = b"HTTP/1.1 200 OK\r\n\r\n"
