--- a/function_router/net/acceptor.py
+++ b/function_router/net/acceptor.py
@@ -33,8 +33,8 @@
 class AcceptorOwner(Protocol):
     """Serves the accepted sockets."""
 
-    def ensure_capacity(self, reserved: int, /) -> bool:
-        """Return whether another connection may be accepted in addition to `reserved` accepted ones.
+    def ensure_capacity(self, deferred_count: int, /) -> bool:
+        """Return whether another connection may be accepted in addition to `deferred_count` accepted ones.
 
         At the connection limit, idle connections are closed to free capacity.
         """
@@ -145,7 +145,7 @@
             self._telemetry.log(f"cannot watch listening socket: {error}")
             self._loop.timers.call_later(ACCEPT_PAUSE_MS, self._resume)
             return
-        self._unread_since.on_watch_resumed()
+        self._unread_since.on_watch_changed()
         self.is_paused = False
         deferred = self._deferred_sockets
         self._deferred_sockets = []
--- a/function_router/net/client_listener.py
+++ b/function_router/net/client_listener.py
@@ -12,7 +12,7 @@
 
 # Time that a new client has for its first byte. At the connection limit, connections that are older and
 # have sent nothing are closed first.
-FIRST_MESSAGE_GRACE_MS = 250.0
+FIRST_BYTE_GRACE_MS = 250.0
 
 
 class ClientListener:
@@ -69,23 +69,23 @@
         client = ClientConnection(self, accepted.sock, accepted.earliest_connect_ms)
         self.connections[client] = None
 
-    def ensure_capacity(self, reserved: int) -> bool:
-        """Return whether another connection may be accepted in addition to `reserved` accepted ones.
+    def ensure_capacity(self, deferred_count: int) -> bool:
+        """Return whether another connection may be accepted in addition to `deferred_count` accepted ones.
 
         At the connection limit, idle connections are closed to free capacity.
         """
-        is_full = len(self.connections) + reserved >= self._max_connections
+        is_full = len(self.connections) + deferred_count >= self._max_connections
         return not is_full or self._evict_idle()
 
     def _evict_idle(self) -> bool:
         """Close idle connections; return whether any was closed.
 
-        All clients that have sent nothing within FIRST_MESSAGE_GRACE_MS are closed. If there are none, the
+        All clients that have sent nothing within FIRST_BYTE_GRACE_MS are closed. If there are none, the
         first connection in eviction order is closed. Connections with unread data are kept, as the data may
         be a request.
         """
         idle = [client for client in self.connections if client.is_idle()]
-        grace_start_ms = monotonic_ms() - FIRST_MESSAGE_GRACE_MS
+        grace_start_ms = monotonic_ms() - FIRST_BYTE_GRACE_MS
         silent = [client for client in idle if client.is_silent_since(grace_start_ms)]
         closed = [client for client in silent if client.close_unless_data_arrived()]
         if closed:
--- a/function_router/net/connection.py
+++ b/function_router/net/connection.py
@@ -181,7 +181,7 @@
         """Pause or resume reading, as backpressure on a peer that does not read its replies."""
         if self._is_reading != enabled and not self.is_closed:
             self._is_reading = enabled
-            self.reader.on_watch_resumed()
+            self.reader.on_watch_changed()
             self._update_mask()
 
     def _update_mask(self) -> None:
--- a/function_router/net/drain.py
+++ b/function_router/net/drain.py
@@ -17,8 +17,8 @@
 CHECK_INTERVAL_MS = 20.0
 
 # SIGKILL may follow SIGTERM after a delay: the longest timeout of the request classes, limited to
-# MAX_KILL_TIMEOUT_MS, plus KILL_GRACE_MS.
-MAX_KILL_TIMEOUT_MS = 3_000.0
+# MAX_TIMEOUT_BEFORE_KILL_MS, plus KILL_GRACE_MS.
+MAX_TIMEOUT_BEFORE_KILL_MS = 3_000.0
 KILL_GRACE_MS = 700.0
 # How long before the earliest SIGKILL the last answers are sent.
 KILL_MARGIN_MS = 200.0
@@ -55,7 +55,7 @@
         self._is_started = True
         self._started_ms = monotonic_ms()
         self._listener.is_ready = False
-        killed_after_ms = min(self._max_timeout_ms, MAX_KILL_TIMEOUT_MS) + KILL_GRACE_MS
+        killed_after_ms = min(self._max_timeout_ms, MAX_TIMEOUT_BEFORE_KILL_MS) + KILL_GRACE_MS
         self._table.drain(killed_after_ms - KILL_MARGIN_MS)
         self._stop_if_complete()
 
--- a/function_router/net/pending_requests.py
+++ b/function_router/net/pending_requests.py
@@ -14,13 +14,13 @@
         by_key: The requests by key, oldest first.
     """
 
-    __slots__ = ("_body_bytes", "_keys_by_client_id", "_max_requests", "by_key")
+    __slots__ = ("_body_bytes", "_keys_by_client_request_id", "_max_requests", "by_key")
 
     def __init__(self, max_requests: int) -> None:
         self.by_key: dict[str, PendingRequest] = {}
         self._max_requests = max_requests
         self._body_bytes = 0
-        self._keys_by_client_id: dict[bytes, str] = {}
+        self._keys_by_client_request_id: dict[bytes, str] = {}
 
     def has_capacity_for(self, invocation: Invocation) -> bool:
         """Return whether the limits allow one more request, with the body of this invocation."""
@@ -32,7 +32,7 @@
         invocation = request.invocation
         self.by_key[request.key] = request
         self._body_bytes += len(invocation.body)
-        self._keys_by_client_id[invocation.request_id] = request.key
+        self._keys_by_client_request_id[invocation.request_id] = request.key
 
     def remove(self, key: str) -> PendingRequest | None:
         """Remove and return a request; None if it is not pending."""
@@ -40,12 +40,12 @@
         if request:
             invocation = request.invocation
             self._body_bytes -= len(invocation.body)
-            self._keys_by_client_id.pop(invocation.request_id, None)
+            self._keys_by_client_request_id.pop(invocation.request_id, None)
         return request
 
-    def find_by_client_id(self, client_request_id: bytes) -> PendingRequest | None:
+    def find_by_client_request_id(self, client_request_id: bytes) -> PendingRequest | None:
         """Return the request to which its client gave this id; None if there is none."""
-        key = self._keys_by_client_id.get(client_request_id)
+        key = self._keys_by_client_request_id.get(client_request_id)
         return None if key is None else self.by_key[key]
 
     def add_trace_step(self, function: str, text: str) -> None:
--- a/function_router/net/request_table.py
+++ b/function_router/net/request_table.py
@@ -76,7 +76,7 @@
         )
         self._health_checker = HealthChecker(loop, pool, self._requests.add_trace_step, telemetry)
         self._batch_time_ms = 0.0  # time of the batch whose actions are being performed
-        self._shutdown_at_ms = math.inf  # latest deadline (monotonic); SIGKILL may follow
+        self._latest_deadline_ms = math.inf  # latest deadline (monotonic); SIGKILL may follow
 
     @property
     def pending(self) -> Mapping[str, PendingRequest]:
@@ -91,7 +91,7 @@
             return Rejected(min(FULL_TABLE_RETRY_AFTER_MS, self._transport.max_retry_after_ms))
         key = f"r{next(self._request_numbers)}"
         now_ms = self._loop.turn_started_ms
-        timeout_ms = max(0.0, min(client_request.timeout_ms, self._shutdown_at_ms - now_ms))
+        timeout_ms = max(0.0, min(client_request.timeout_ms, self._latest_deadline_ms - now_ms))
         deadline_timer = self._set_deadline_timer(key, timeout_ms)
         self._requests.add(PendingRequest(key, client_request, now_ms + timeout_ms, deadline_timer))
         invocation = client_request.invocation
@@ -113,7 +113,7 @@
 
     def is_pending(self, client_request_id: bytes) -> bool:
         """Return whether a request with this id is pending and its client is still connected."""
-        request = self._requests.find_by_client_id(client_request_id)
+        request = self._requests.find_by_client_request_id(client_request_id)
         return request is not None and request.client_request.is_client_connected()
 
     def cancel_request(self, key: str) -> None:
@@ -125,10 +125,10 @@
 
     def drain(self, within_ms: float) -> None:
         """Limit all deadlines to `within_ms` from now, so that each request is answered before a SIGKILL."""
-        self._shutdown_at_ms = self._loop.turn_started_ms + within_ms
+        self._latest_deadline_ms = self._loop.turn_started_ms + within_ms
         for request in self._requests.by_key.values():
-            if request.deadline_ms > self._shutdown_at_ms:
-                request.deadline_ms = self._shutdown_at_ms
+            if request.deadline_ms > self._latest_deadline_ms:
+                request.deadline_ms = self._latest_deadline_ms
                 request.deadline_timer.cancel()
                 request.deadline_timer = self._set_deadline_timer(request.key, within_ms)
         self._loop.submit(DrainStarted(within_ms))
--- a/function_router/net/socket_reader.py
+++ b/function_router/net/socket_reader.py
@@ -34,12 +34,12 @@
         """Record that the last poll reported the socket as readable."""
         self._unread_since.on_reported_readable()
 
-    def on_watch_resumed(self) -> None:
+    def on_watch_changed(self) -> None:
         """Record that the event loop starts or stops watching the socket for reading.
 
         The polls so far then prove nothing about its data.
         """
-        self._unread_since.on_watch_resumed()
+        self._unread_since.on_watch_changed()
 
     def receive(self) -> bytes | CloseReason | None:
         """Read up to MAX_READ_BYTES.
@@ -59,7 +59,7 @@
         if not data:
             return CloseReason.CLOSED_BY_PEER
         loop = self._loop
-        self.max_receive_delay_ms = self._unread_since.max_wait_ms
+        self.max_receive_delay_ms = self._unread_since.max_receive_delay_ms
         self.receive_delay_ms = receive_delay_ms(
             ancillary, loop.turn_started_unix_ms, loop.wall_clock_step_ms, self.max_receive_delay_ms
         )
--- a/function_router/net/unread_since.py
+++ b/function_router/net/unread_since.py
@@ -27,7 +27,7 @@
         return self._since_ms
 
     @property
-    def max_wait_ms(self) -> float:
+    def max_receive_delay_ms(self) -> float:
         """The longest time for which the unread bytes can have waited when this turn began."""
         return max(0.0, self._loop.turn_started_ms - self._since_ms)
 
@@ -41,7 +41,7 @@
         """Record that a read found nothing."""
         self._since_ms = self._loop.turn_started_ms
 
-    def on_watch_resumed(self) -> None:
+    def on_watch_changed(self) -> None:
         """Record that the socket was not watched for a while, so that the polls so far prove nothing."""
         self._last_reported_poll = self._loop.poll_count
 
@@ -50,4 +50,4 @@
 
         This is the case once every poll has reported the socket for longer than MAX_READABLE_INTERVAL_MS.
         """
-        return self.max_wait_ms > MAX_READABLE_INTERVAL_MS
+        return self.max_receive_delay_ms > MAX_READABLE_INTERVAL_MS
--- a/tests/net/test_acceptor.py
+++ b/tests/net/test_acceptor.py
@@ -20,11 +20,11 @@
         self.has_capacity = True
         self.failures = 0
         self.served = []
-        self.reserved = []
+        self.deferred_counts = []
 
-    def ensure_capacity(self, reserved):
+    def ensure_capacity(self, deferred_count):
         """Record the call; return whether the test allows another connection."""
-        self.reserved.append(reserved)
+        self.deferred_counts.append(deferred_count)
         return self.has_capacity
 
     def serve(self, accepted):
@@ -99,7 +99,7 @@
     run_until(lambda: len(owner.served) == 2)
 
     assert [line.startswith("cannot serve accepted connection: ") for line in log_lines] == [True, True]
-    assert set(owner.reserved) == {0}
+    assert set(owner.deferred_counts) == {0}
 
 
 def test_deferred_socket_counts_against_the_capacity(loop, acceptor, owner, connect):
@@ -109,7 +109,7 @@
 
     acceptor.accept_pending()
 
-    assert owner.reserved == [0, 1]
+    assert owner.deferred_counts == [0, 1]
 
 
 def test_accept_without_a_file_descriptor_is_retried_and_not_logged(
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -54,7 +54,7 @@
     client.send_request(unsent_size=9)
     served = harness.only_client_connection()
     harness.run_until(lambda: served.messages.has_partial_message, "the first part is read")
-    served.connection.last_used_ms -= 10 * client_listener.FIRST_MESSAGE_GRACE_MS
+    served.connection.last_used_ms -= 10 * client_listener.FIRST_BYTE_GRACE_MS
 
     for _ in range(30):
         connect_and_request_status(harness, "each client is answered")
--- a/tests/net/test_decision_host.py
+++ b/tests/net/test_decision_host.py
@@ -112,9 +112,9 @@
     process.router._handlers[TimerFired] = mock.Mock(side_effect=KeyError)
 
     client.send_request(call="ee" * 8)
-    [served] = process.listener.connections
-    assert wait_readable(served.connection._sock)
-    served.connection._on_ready(READ)
+    [client_connection] = process.listener.connections
+    assert wait_readable(client_connection.connection._sock)
+    client_connection.connection._on_ready(READ)
     process.loop.submit(TimerFired(1))  # in the same batch as the request, and after it
     harness.run_until(lambda: len(worker.requests) == 2, "the second request runs")
 
--- a/tests/net/test_drain.py
+++ b/tests/net/test_drain.py
@@ -35,9 +35,9 @@
 
 
 def test_unread_request_is_served_in_a_drain(harness, worker, client):
-    [served] = harness.router_process.listener.connections
+    [client_connection] = harness.router_process.listener.connections
     client.send_request()
-    assert wait_readable(served.connection._sock)
+    assert wait_readable(client_connection.connection._sock)
 
     drain_past_late_arrivals(harness)
 
@@ -59,9 +59,11 @@
 
 
 def test_partially_read_request_is_served_in_a_drain(harness, worker, client):
-    [served] = harness.router_process.listener.connections
+    [client_connection] = harness.router_process.listener.connections
     client.send_request(unsent_size=9)
-    harness.run_until(lambda: served.messages.has_partial_message, "the first part of the request is read")
+    harness.run_until(
+        lambda: client_connection.messages.has_partial_message, "the first part of the request is read"
+    )
 
     drain_past_late_arrivals(harness)
     client.send_unsent()
@@ -86,7 +88,7 @@
         harness.run_until(lambda count=seqid: len(worker.requests) == count, "the request runs")
     started_ms = clock.monotonic_ms()
 
-    with mock.patch.object(drain, "MAX_KILL_TIMEOUT_MS", 0.0):  # 0.5 s are left instead of 3.5 s
+    with mock.patch.object(drain, "MAX_TIMEOUT_BEFORE_KILL_MS", 0.0):  # 0.5 s are left instead of 3.5 s
         harness.router_process.drain.start()
     client.send_request("view", seqid=3, row="ff" * 8)
     harness.run_until(lambda: len(client.answer_kinds()) == 4, "all requests are answered")
@@ -105,7 +107,7 @@
     started_ms = clock.monotonic_ms()
 
     with (
-        mock.patch.object(drain, "MAX_KILL_TIMEOUT_MS", 0.0),  # 0.5 s are left instead of 3.5 s
+        mock.patch.object(drain, "MAX_TIMEOUT_BEFORE_KILL_MS", 0.0),  # 0.5 s are left instead of 3.5 s
         mock.patch.object(harness.router_process.router, "handle", side_effect=KeyError),
     ):
         harness.router_process.drain.start()
--- a/tests/net/test_event_ordering_requests.py
+++ b/tests/net/test_event_ordering_requests.py
@@ -214,7 +214,7 @@
     with mock.patch.object(connection, "MAX_READS_PER_TURN", 1):
         client_connection.connection._on_ready(READ)
 
-    assert (harness.table.pending, harness.table._requests._keys_by_client_id) == ({}, {})
+    assert (harness.table.pending, harness.table._requests._keys_by_client_request_id) == ({}, {})
 
 
 # --- idempotency window ---------------------------------------------------------------------------
--- a/tests/net/test_log.py
+++ b/tests/net/test_log.py
@@ -79,12 +79,12 @@
     writer = threading.Thread(target=fill, daemon=True)
     writer.start()
     writer.join(5.0)
-    was_stopped = writer.is_alive()
+    was_blocked = writer.is_alive()
     first_line = os.read(read_end, 65536).split(b"\n")[0]
     for _ in range(64):  # read the pipe until the thread ends
         if writer.is_alive():
             os.read(read_end, 65536)
             writer.join(0.05)
 
-    assert not was_stopped
+    assert not was_blocked
     assert first_line == b"n1: " + b"y" * MAX_LINE_LENGTH
--- a/tests/net/test_pending_requests.py
+++ b/tests/net/test_pending_requests.py
@@ -40,12 +40,12 @@
     request = pending_request("r1", request_id=b"abcdefgh")
     requests.add(request)
 
-    assert requests.find_by_client_id(b"abcdefgh") is request
-    assert requests.find_by_client_id(b"12345678") is None
+    assert requests.find_by_client_request_id(b"abcdefgh") is request
+    assert requests.find_by_client_request_id(b"12345678") is None
 
     assert requests.remove("r1") is request
     assert requests.remove("r1") is None
-    assert requests.find_by_client_id(b"abcdefgh") is None
+    assert requests.find_by_client_request_id(b"abcdefgh") is None
 
 
 def test_trace_step_goes_to_the_requests_for_its_function_only(requests):
--- a/tests/net/test_unread_since.py
+++ b/tests/net/test_unread_since.py
@@ -35,14 +35,14 @@
     loop.poll(130.0)
     unread_since.on_reported_readable()
 
-    assert unread_since.max_wait_ms == 30.0
+    assert unread_since.max_receive_delay_ms == 30.0
 
 
 def test_wait_is_bounded_by_the_start_of_the_watch_where_every_poll_reports_the_socket(loop, unread_since):
     loop.poll(100.0)
     unread_since.on_reported_readable()
 
-    assert unread_since.max_wait_ms == 100.0
+    assert unread_since.max_receive_delay_ms == 100.0
 
 
 def test_bound_is_kept_while_every_poll_reports_the_socket_until_a_read_finds_nothing(loop, unread_since):
@@ -50,20 +50,20 @@
         loop.poll(at_ms)
         if at_ms > 100.0:
             unread_since.on_reported_readable()
-    wait_ms = unread_since.max_wait_ms
+    wait_ms = unread_since.max_receive_delay_ms
     unread_since.on_read_empty()
     loop.poll(195.0)
     unread_since.on_reported_readable()
 
     assert wait_ms == 90.0 > MAX_READABLE_INTERVAL_MS
-    assert unread_since.max_wait_ms == 5.0
+    assert unread_since.max_receive_delay_ms == 5.0
 
 
 def test_polls_while_the_socket_was_not_watched_are_ignored(loop, unread_since):
     for at_ms in (100.0, 500.0):
         loop.poll(at_ms)
-    unread_since.on_watch_resumed()
+    unread_since.on_watch_changed()
     loop.poll(510.0)
     unread_since.on_reported_readable()
 
-    assert unread_since.max_wait_ms == 510.0
+    assert unread_since.max_receive_delay_ms == 510.0
