--- a/function_router/net/acceptor.py
+++ b/function_router/net/acceptor.py
@@ -34,9 +34,10 @@
     """Serves the accepted sockets."""
 
     def ensure_capacity(self, deferred_count: int, /) -> bool:
-        """Return whether another connection may be accepted in addition to `deferred_count` accepted ones.
+        """Return whether another connection may be accepted.
 
-        At the connection limit, idle connections are closed to free capacity.
+        It is in addition to the `deferred_count` accepted sockets that are not served yet. At the connection
+        limit, idle connections are closed to free capacity.
         """
 
     def serve(self, accepted: AcceptedSocket, /) -> None:
@@ -66,7 +67,8 @@
         """Listen on an address; for port 0 the kernel chooses a port.
 
         The owner serves at most `max_connections` at once. One turn accepts at most half as many, so that the
-        first requests of the accepted clients are read before the next clients compete for their capacity.
+        router can read the first requests of the accepted clients before idle connections are closed to free
+        capacity for further clients.
 
         Raises:
             OSError: The router cannot listen on the address.
--- a/function_router/net/attempt_report.py
+++ b/function_router/net/attempt_report.py
@@ -46,6 +46,7 @@
 
 
 def _in_flight(answer: WorkerAnswer) -> int | None:
+    """Return the number of requests in flight; None unless the outcome is OK or QUEUE_FULL."""
     if answer.outcome not in (Outcome.OK, Outcome.QUEUE_FULL):
         return None
     return min(MAX_REPORTED_IN_FLIGHT, answer.in_flight)
--- a/function_router/net/attempts_in_flight.py
+++ b/function_router/net/attempts_in_flight.py
@@ -69,7 +69,7 @@
     def cancel_unsent(self, request: PendingRequest) -> None:
         """Cancel the attempts of a finished request of which no byte has been sent yet.
 
-        The decision module may not cancel them, as the settings can forbid it to cancel attempts.
+        The decision module does not do this if the settings forbid it to cancel attempts.
         """
         for attempt in self._attempts_of(request):
             self._pool.cancel_if_unsent(attempt)
--- a/function_router/net/client_connection.py
+++ b/function_router/net/client_connection.py
@@ -15,8 +15,8 @@
 # read its answers.
 CLIENT_GONE_REASONS = (CloseReason.CLOSED_BY_PEER, CloseReason.RESET_BY_PEER, CloseReason.WRITE_BUFFER_FULL)
 
-# How long a connection may be idle before it is closed. Clients close a connection after 4 s without a
-# request, so one that is idle for longer than this would never be closed by its client.
+# How long a connection may be idle before the router closes it. Clients close a connection after 4 s without
+# a request, so one that stays idle for IDLE_TIMEOUT_MS would never be closed by its client.
 IDLE_TIMEOUT_MS = 30_000.0
 # If bytes may have been unread for longer than this, the process has been stalled, and the messages of one
 # read may differ in age. Otherwise all messages of a read are treated as equally old.
--- a/function_router/net/client_listener.py
+++ b/function_router/net/client_listener.py
@@ -70,9 +70,10 @@
         self.connections[client] = None
 
     def ensure_capacity(self, deferred_count: int) -> bool:
-        """Return whether another connection may be accepted in addition to `deferred_count` accepted ones.
+        """Return whether another connection may be accepted.
 
-        At the connection limit, idle connections are closed to free capacity.
+        It is in addition to the `deferred_count` accepted sockets that are not served yet. At the connection
+        limit, idle connections are closed to free capacity.
         """
         is_full = len(self.connections) + deferred_count >= self._max_connections
         return not is_full or self._evict_idle()
--- a/function_router/net/client_messages.py
+++ b/function_router/net/client_messages.py
@@ -3,8 +3,9 @@
 from function_router.net.clock import monotonic_ms
 from function_router.net.codecs import thrift
 
-# Each client has to be answered or disconnected within 3 s of connecting. The message timeout and the chunk
-# timeout add up to 3 s.
+# A client that sends nothing, or stops after fewer than MIN_STEADY_CHUNKS chunks of its first message, has to
+# be answered or disconnected within 3 s of connecting. MESSAGE_TIMEOUT_MS and CHUNK_TIMEOUT_MS add up to 3 s.
+# The router process checks these timeouts every TIMEOUT_CHECK_INTERVAL_MS.
 
 # Timeout for the first message, and for the rest of a message that has been received in part.
 MESSAGE_TIMEOUT_MS = 2_300.0
@@ -35,7 +36,7 @@
         """Start to wait for the first message."""
         self.has_received_message = False
         self._frames = thrift.FrameReader()
-        self._chunk_count = 0  # number of reads, from the last one that completed a message on
+        self._chunk_count = 0  # reads since the last one that completed a message, which counts as well
         self._waiting_since_ms = monotonic_ms()  # when the client connected, or the partial message began
 
     @property
--- a/function_router/net/codecs/worker_frames.py
+++ b/function_router/net/codecs/worker_frames.py
@@ -107,10 +107,10 @@
 
 
 def encode_ensure_instances(exchange_id: bytes, function: str, instances: int) -> bytes:
-    """Encode the frame that has a worker start instances until it has `instances` of a function.
+    """Encode an order to start instances of a function until the worker has `instances` of them.
 
-    With 0 instances, the frame is a probe: the worker starts none. The answer states how many instances of
-    the function the worker has.
+    With 0 instances, the frame is a probe: the worker starts none. The answer to either states how many
+    instances of the function the worker has.
     """
     return encode(ENSURE_INSTANCES, exchange_id, f"{FUNCTION_FIELD}={function},{INSTANCES_FIELD}={instances}")
 
--- a/function_router/net/connection.py
+++ b/function_router/net/connection.py
@@ -16,7 +16,8 @@
 from function_router.net.write_queue import PendingWrite
 
 # Maximum number of reads from one connection in one turn. The limit keeps one peer from starving the others.
-# It is above 1 because a cancellation arrives after the request that it cancels.
+# It is above 1 so that a cancellation, which arrives after the request that it cancels, can be read in the
+# same turn, before the request is sent to a worker.
 MAX_READS_PER_TURN = 4
 # How long after `close_after_flush` the peer may read the last data and close the connection itself.
 LINGER_MS = 1_000.0
@@ -63,7 +64,7 @@
         is_connected: bool,
         unread_since_ms: float | None = None,
     ) -> None:
-        """Take ownership of a non-blocking socket with no unread data at `unread_since_ms` (default: now)."""
+        """Own a non-blocking socket; unread bytes arrived at `unread_since_ms` (default: now) or later."""
         now_ms = monotonic_ms()
         self.loop = loop
         self.handler = handler
@@ -178,7 +179,7 @@
         return self.is_closed or sockets.has_peer_closed(self._sock)
 
     def set_reading(self, *, enabled: bool) -> None:
-        """Pause or resume reading, as backpressure on a peer that does not read its replies."""
+        """Pause or resume reading, as backpressure on a peer that does not read what is sent to it."""
         if self._is_reading != enabled and not self.is_closed:
             self._is_reading = enabled
             self.reader.on_watch_changed()
@@ -187,7 +188,7 @@
     def _update_mask(self) -> None:
         mask = (READ if self._is_reading else 0) | (WRITE if self._writer.is_blocked else 0)
         # A selector does not accept an empty mask. A connection that neither reads nor waits to write keeps
-        # its mask; this is rare, as reading pauses only for a peer that does not read its replies.
+        # its mask; this is rare, as reading pauses only for a peer that does not read what is sent to it.
         if mask and mask != self._mask and not self.is_closed:
             self._mask = mask
             self.loop.modify(self._sock, mask, self._on_ready)
@@ -250,7 +251,7 @@
         """Write what is queued, shut down the sending side, and close when the peer does or after LINGER_MS.
 
         Bytes received in the meantime are read and discarded: closing with unread bytes would make the kernel
-        reset the connection, and the peer could lose the last replies.
+        reset the connection, and the peer could lose the last data that was written.
         """
         if not self.is_closed and not self._close_reason_after_flush:
             self._close_reason_after_flush = reason
--- a/function_router/net/event_loop.py
+++ b/function_router/net/event_loop.py
@@ -15,7 +15,7 @@
 from function_router.net.signal_wakeup import SignalWakeup
 from function_router.net.timer_wheel import TimerWheel
 
-# A turn that takes longer than this after its last poll is logged, as replies may miss their deadlines.
+# A turn that takes longer than this after its last poll is logged, as answers may miss their deadlines.
 SLOW_TURN_MS = 80.0
 # A turn that takes longer than this after its poll polls the sockets again before it writes: the client of a
 # request may have disconnected, and an attempt must not start more than 100 ms after a disconnect.
--- a/function_router/net/receive_timestamps.py
+++ b/function_router/net/receive_timestamps.py
@@ -22,7 +22,7 @@
     """Enable receive timestamps on the connections of a listening socket.
 
     This must be called before listening. Connections inherit the option, so their first bytes have timestamps
-    too.
+    too. If the option cannot be set, reads have no timestamp, and their receive delay counts as 0.
     """
     with contextlib.suppress(OSError):
         listener.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
--- a/function_router/net/request_parser.py
+++ b/function_router/net/request_parser.py
@@ -37,7 +37,10 @@
 
 
 class InvalidFieldError(MalformedMessageError):
-    """A field of a request is missing, or has a value that cannot be passed to a worker."""
+    """A field of a request is missing, malformed or out of range, or the router does not accept its value.
+
+    Examples of the latter are an unknown tenant and the id of a pending request.
+    """
 
     def __init__(self, name: str, problem: str) -> None:
         super().__init__(f"{name}: {problem}")
@@ -54,7 +57,7 @@
         tenants: Names of the tenants that may send requests; if empty, the field is optional and unchecked.
 
     Raises:
-        InvalidFieldError: A field is missing, or has a value that cannot be passed to a worker.
+        InvalidFieldError: A field is missing, malformed or out of range, or names an unknown class or tenant.
     """
     fields = message.fields
     request_class = _parse_class(fields, classes)
--- a/function_router/net/request_table.py
+++ b/function_router/net/request_table.py
@@ -76,7 +76,8 @@
         )
         self._health_checker = HealthChecker(loop, pool, self._requests.add_trace_step, telemetry)
         self._batch_time_ms = 0.0  # time of the batch whose actions are being performed
-        self._latest_deadline_ms = math.inf  # latest deadline (monotonic); SIGKILL may follow
+        # The limit on all deadlines (monotonic) during a drain, as SIGKILL may follow.
+        self._latest_deadline_ms = math.inf
 
     @property
     def pending(self) -> Mapping[str, PendingRequest]:
--- a/function_router/net/socket_reader.py
+++ b/function_router/net/socket_reader.py
@@ -13,7 +13,7 @@
 
 
 class SocketReader:
-    """Reads from one socket, which is owned by the connection.
+    """Reads from one socket, which is owned by the connection that uses the reader.
 
     Attributes:
         receive_delay_ms: How long the last byte of the last read was unread when the turn began.
@@ -23,7 +23,7 @@
     __slots__ = ("_loop", "_sock", "_unread_since", "max_receive_delay_ms", "receive_delay_ms")
 
     def __init__(self, loop: EventLoop, sock: socket.socket, unread_since_ms: float) -> None:
-        """Create a reader for a socket with no unread data at `unread_since_ms`, on the monotonic clock."""
+        """Create a reader; unread bytes of the socket arrived at `unread_since_ms` (monotonic) or later."""
         self.receive_delay_ms = 0.0
         self.max_receive_delay_ms = 0.0
         self._loop = loop
@@ -35,7 +35,7 @@
         self._unread_since.on_reported_readable()
 
     def on_watch_changed(self) -> None:
-        """Record that the event loop starts or stops watching the socket for reading.
+        """Record that the event loop starts or stops watching the socket.
 
         The polls so far then prove nothing about its data.
         """
--- a/function_router/net/telemetry.py
+++ b/function_router/net/telemetry.py
@@ -6,6 +6,8 @@
 from function_router.net.log import RateLimitedLog
 
 # Names of the counters, as they are logged. A counter with a detail is counted separately for each detail.
+# ATTEMPTS, START_ORDERS and PROBES are counted before the exchange is passed to a worker's connections, so
+# they include exchanges that are counted as NOT_SENT afterwards.
 ATTEMPTS = "attempts"
 START_ORDERS = "start orders"
 PROBES = "probes"
@@ -16,7 +18,7 @@
 NOT_SENT = "not sent"  # exchanges that were not sent; detail: the reason
 CLIENTS_ACCEPTED = "clients accepted"
 CLIENTS_CLOSED = "clients closed"  # closed connections of clients; detail: the close reason
-ANSWERS = "answers"  # final answers; detail: the kind of answer
+ANSWERS = "answers"  # final answers to admitted requests; detail: the kind of answer
 VIOLATIONS = "invariants violated"  # violations since the start
 
 
--- a/function_router/net/unread_since.py
+++ b/function_router/net/unread_since.py
@@ -2,7 +2,8 @@
 
 from function_router.net.event_loop import EventLoop
 
-# A socket that every poll has reported as readable for longer than this is read until it is empty.
+# A socket that every poll has reported as readable for longer than this is read until it is empty: only an
+# empty read proves that bytes read later are new.
 MAX_READABLE_INTERVAL_MS = 50.0
 
 
@@ -16,7 +17,7 @@
     __slots__ = ("_last_reported_poll", "_loop", "_since_ms")
 
     def __init__(self, loop: EventLoop, since_ms: float) -> None:
-        """Start with a socket that had no unread data at `since_ms`, on the monotonic clock."""
+        """Start with a socket whose unread bytes arrived at `since_ms` (monotonic) or later."""
         self._loop = loop
         self._last_reported_poll = loop.poll_count
         self._since_ms = since_ms
@@ -42,7 +43,10 @@
         self._since_ms = self._loop.turn_started_ms
 
     def on_watch_changed(self) -> None:
-        """Record that the socket was not watched for a while, so that the polls so far prove nothing."""
+        """Record that the event loop starts or stops watching the socket.
+
+        The polls so far then prove nothing about its data.
+        """
         self._last_reported_poll = self._loop.poll_count
 
     def should_read_until_empty(self) -> bool:
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -26,7 +26,8 @@
 
 WITHOUT_CANCEL = {"bounds": {**SETTINGS["bounds"], "cancel": False}}
 
-# Each client has to be answered or disconnected within this time of connecting.
+# A client that sends nothing, or stops after fewer than MIN_STEADY_CHUNKS chunks of its first message, has to
+# be answered or disconnected within this time of connecting.
 ANSWER_LIMIT_MS = 3000.0
 
 
--- a/tests/net/test_event_ordering_requests.py
+++ b/tests/net/test_event_ordering_requests.py
@@ -1,7 +1,7 @@
 """Tests of `function_router.net.request_table`: attempts that must not start, and reused request ids.
 
-In most tests, the router handles a client's close, a new connection or an answer before something that was
-sent earlier.
+In most tests, events reach the router in an unfavorable order. For example, a connection to a worker is
+established, or an attempt is about to be sent, before the router reads that the client has disconnected.
 """
 
 import math
--- a/tests/net/test_worker_frames.py
+++ b/tests/net/test_worker_frames.py
@@ -10,7 +10,9 @@
 from function_router.net.codecs import worker_frames
 from function_router.net.codecs.worker_frames import FrameReader
 
-WORKER_BYTE = 129  # the direction byte of a worker's frame, as documented
+# The direction byte of a worker's frame. It is a literal, like the codes and field names in the tests, so
+# that a change of the codec's constants fails the tests.
+WORKER_BYTE = 129
 VALID_FRAME = worker_frames.encode(0, b"goodgood", "res=reused", b"x", WORKER_BYTE)
 
 
