--- a/function_router/net/socket_writer.py
+++ b/function_router/net/socket_writer.py
@@ -9,7 +9,7 @@
 
 
 class SocketWriter:
-    """Writes to one socket, which is owned by the connection.
+    """Writes to one socket, which is owned by the connection that uses the writer.
 
     Attributes:
         queue: The bytes that are not written yet.
