--- a/function_router/config/conversion.py
+++ b/function_router/config/conversion.py
@@ -48,12 +48,12 @@
     family = section.family_info
     return TransportSettings(
         connect_timeout_ms=bounds.dial_timeout,
-        keepalive_ms=bounds.keepalive,
+        connection_keepalive_ms=bounds.keepalive,
         max_exchanges_per_connection=bounds.streams_per_conn,
         max_pending_requests=bounds.max_open,
         max_retry_after_ms=_max_retry_after_ms(bounds),
         start_order_timeout_ms=family.load_wait,
-        reports_in_flight=family.notes_peers_in_hand,
+        workers_report_in_flight=family.notes_peers_in_hand,
         may_preconnect=section.costs.handshake == 0,
         tenants=frozenset(tenant.name for tenant in section.tenants),
     )
--- a/function_router/config/types.py
+++ b/function_router/config/types.py
@@ -14,12 +14,12 @@
     """Settings of the network code."""
 
     connect_timeout_ms: float = 250.0
-    keepalive_ms: float = 15_000.0
+    connection_keepalive_ms: float = 15_000.0
     max_exchanges_per_connection: int = 32
     max_pending_requests: int = 20_000
     max_retry_after_ms: float = 0.0  # maximum retry-after delay sent to a client; 0: none may be sent
     start_order_timeout_ms: float = 10_000.0
-    reports_in_flight: bool = False  # whether workers report their number of requests in flight
+    workers_report_in_flight: bool = False  # whether workers report their number of requests in flight
     may_preconnect: bool = True  # whether connections may be opened before requests need them
     tenants: frozenset[str] = frozenset()  # names of the tenants; empty: the deployment has none
 
--- a/function_router/net/attempt_report.py
+++ b/function_router/net/attempt_report.py
@@ -28,19 +28,21 @@
     description: str
 
     @classmethod
-    def from_result(cls, attempt: Attempt, result: Result, *, reports_in_flight: bool) -> "AttemptReport":
+    def from_result(
+        cls, attempt: Attempt, result: Result, *, workers_report_in_flight: bool
+    ) -> "AttemptReport":
         """Convert the result of an attempt.
 
         Args:
             attempt: An attempt that has ended.
             result: The worker's answer, or the reason why there is none.
-            reports_in_flight: Whether workers state in their answers how many requests are in flight.
+            workers_report_in_flight: Whether workers state in their answers how many requests are in flight.
         """
         if not isinstance(result, WorkerAnswer):
             outcome = outcome_of(result, is_started=attempt.is_started)
             cause = f" ({attempt.not_sent_reason.name})" if attempt.not_sent_reason else ""
             return cls(outcome, StartKind.UNKNOWN, None, result.name + cause)
-        in_flight = _in_flight(result) if reports_in_flight else None
+        in_flight = _in_flight(result) if workers_report_in_flight else None
         description = f"{result.outcome.name} {result.start_kind.name} in flight {in_flight}"
         return cls(result.outcome, result.start_kind, in_flight, description)
 
--- a/function_router/net/attempts_in_flight.py
+++ b/function_router/net/attempts_in_flight.py
@@ -108,7 +108,7 @@
         """Record and report the result of an attempt; the first successful one answers the request."""
         del self.by_key[key, number]
         report = AttemptReport.from_result(
-            attempt, result, reports_in_flight=self._transport.reports_in_flight
+            attempt, result, workers_report_in_flight=self._transport.workers_report_in_flight
         )
         if request := self._requests.by_key.get(key):
             _record_ended_attempt(request, attempt, report)
--- a/function_router/net/idle_limit.py
+++ b/function_router/net/idle_limit.py
@@ -24,9 +24,9 @@
 
     __slots__ = ("_max_limit_ms", "limit_ms")
 
-    def __init__(self, keepalive_ms: float) -> None:
-        """Start at the highest limit; `keepalive_ms` is how long workers keep an idle connection open."""
-        self._max_limit_ms = max(MIN_LIMIT_MS, KEEPALIVE_SHARE * keepalive_ms)
+    def __init__(self, connection_keepalive_ms: float) -> None:
+        """Start at the highest limit. Workers keep an idle connection open for `connection_keepalive_ms`."""
+        self._max_limit_ms = max(MIN_LIMIT_MS, KEEPALIVE_SHARE * connection_keepalive_ms)
         self.limit_ms = self._max_limit_ms
 
     def on_stale_connection(self, idle_ms: float) -> None:
--- a/function_router/net/worker_pool.py
+++ b/function_router/net/worker_pool.py
@@ -60,7 +60,7 @@
             transport=transport,
             telemetry=telemetry,
             budget=ConnectionBudget(max_connections, self._all_connections),
-            idle_limit=IdleLimit(transport.keepalive_ms),
+            idle_limit=IdleLimit(transport.connection_keepalive_ms),
             readiness=ReadinessAdapter(loop.clock, readiness or AlwaysReady()),
         )
         self._exchange_ids = itertools.count(random.Random(seed).getrandbits(FIRST_EXCHANGE_ID_BITS))
--- a/function_router/simulator_adapter.py
+++ b/function_router/simulator_adapter.py
@@ -16,14 +16,14 @@
 from function_router.decisions.router import Router
 from function_router.errors import FunctionRouterError
 from function_router.simulator_codec import (
-    EVENT_READERS,
+    EVENT_DECODERS,
     ROUTER_KILLED,
     ROUTER_STARTED,
     SEED,
     SETTINGS,
     JsonObject,
-    write_action,
-    write_exception,
+    encode_action,
+    encode_exception,
 )
 
 # Fields of a batch and of its reply; a reply has only ROUTER_BATCHES.
@@ -67,39 +67,39 @@
         """
         batch = _decode_batch(line)
         now_ms = batch[BATCH_TIME]
-        replies = []
+        router_replies = []
         for router_batch in batch[ROUTER_BATCHES]:
             _check_router_batch(router_batch)
             router_id = router_batch[ROUTER_ID]
-            messages = self._answer_router(router_id, now_ms, router_batch[MESSAGES])
+            messages = self._handle_messages(router_id, now_ms, router_batch[MESSAGES])
             if messages:
-                replies.append({ROUTER_ID: router_id, REPLY_MESSAGES: messages})
-        return json.dumps({ROUTER_BATCHES: replies}, separators=COMPACT_SEPARATORS)
+                router_replies.append({ROUTER_ID: router_id, REPLY_MESSAGES: messages})
+        return json.dumps({ROUTER_BATCHES: router_replies}, separators=COMPACT_SEPARATORS)
 
-    def _answer_router(self, router_id: int, now_ms: float, messages: list[Any]) -> list[JsonObject]:
+    def _handle_messages(self, router_id: int, now_ms: float, messages: list[Any]) -> list[JsonObject]:
         """Process the messages of one router and return its replies.
 
         The router handles its events as one batch. If it is restarted in between, the events before and after
         the restart are separate batches.
         """
-        replies: list[JsonObject] = []
+        reply_messages: list[JsonObject] = []
         events: list[Event] = []
         for message in messages:
             name, body = _split_message(message)
             if name in (ROUTER_STARTED, ROUTER_KILLED):
-                replies += self._handle(router_id, now_ms, events)
+                reply_messages += self._handle(router_id, now_ms, events)
                 events = []
                 self.routers.pop(router_id, None)
             try:
                 if name == ROUTER_STARTED:
                     settings = parse_settings(body.get(SETTINGS) or {})
                     self.routers[router_id] = Router(settings, body[SEED])
-                elif name in EVENT_READERS and (event := EVENT_READERS[name](body)) is not None:
+                elif name in EVENT_DECODERS and (event := EVENT_DECODERS[name](body)) is not None:
                     events.append(event)
             except INVALID_BODY_ERRORS as error:
                 problem = f"{name}: {type(error).__name__}: {error}"
                 raise InvalidBatchError(problem) from None
-        return replies + self._handle(router_id, now_ms, events)
+        return reply_messages + self._handle(router_id, now_ms, events)
 
     def _handle(self, router_id: int, now_ms: float, events: list[Event]) -> list[JsonObject]:
         """Pass events to a router, and return its actions, or the exception that it raises, as messages."""
@@ -108,8 +108,8 @@
         try:
             actions = self.routers[router_id].handle(now_ms, events)
         except Exception as error:  # noqa: BLE001 (a message reports any exception to the simulator)
-            return [write_exception(_describe_exception(error))]
-        return [write_action(action) for action in actions]
+            return [encode_exception(_describe_exception(error))]
+        return [encode_action(action) for action in actions]
 
 
 def _decode_batch(line: str) -> JsonObject:
--- a/function_router/simulator_codec.py
+++ b/function_router/simulator_codec.py
@@ -102,7 +102,7 @@
 OUTCOMES = {outcome.value: outcome for outcome in Outcome}
 
 
-def read_endpoint(entry: JsonObject) -> Endpoint:
+def decode_endpoint(entry: JsonObject) -> Endpoint:
     """Decode an entry of the endpoint list."""
     size = entry.get(ENDPOINT_SIZE)
     return Endpoint(
@@ -116,7 +116,7 @@
     )
 
 
-def read_endpoints(body: JsonObject) -> EndpointsChanged | None:
+def decode_endpoints(body: JsonObject) -> EndpointsChanged | None:
     """Decode the endpoint list or its changes.
 
     Returns:
@@ -125,11 +125,11 @@
     kind = body.get(LIST_KIND) or CHANGES_ONLY
     if kind == LIST_UNAVAILABLE:
         return None
-    endpoints = [read_endpoint(entry) for entry in body.get(LIST_ENTRIES) or []]
+    endpoints = [decode_endpoint(entry) for entry in body.get(LIST_ENTRIES) or []]
     return EndpointsChanged(endpoints, is_complete=kind in COMPLETE_LIST_KINDS)
 
 
-def read_request(body: JsonObject) -> RequestArrived:
+def decode_request(body: JsonObject) -> RequestArrived:
     """Decode the arrival of a request."""
     flags = body.get(REQUEST_FLAGS) or 0
     return RequestArrived(
@@ -145,12 +145,12 @@
     )
 
 
-def read_request_cancelled(body: JsonObject) -> RequestCancelled:
+def decode_request_cancelled(body: JsonObject) -> RequestCancelled:
     """Decode the cancellation of a request by its client."""
     return RequestCancelled(body[REQUEST_ID])
 
 
-def read_attempt_ended(body: JsonObject) -> AttemptEnded:
+def decode_attempt_ended(body: JsonObject) -> AttemptEnded:
     """Decode the end of an attempt."""
     packed_status = body.get(PACKED_STATUS)
     return AttemptEnded(
@@ -166,7 +166,7 @@
     )
 
 
-def read_instances_report(body: JsonObject) -> InstancesReported:
+def decode_instances_report(body: JsonObject) -> InstancesReported:
     """Decode the answer of a worker to a start order or a probe."""
     return InstancesReported(
         worker_id=body[WORKER_ID],
@@ -177,12 +177,12 @@
     )
 
 
-def read_timer_fired(body: JsonObject) -> TimerFired:
+def decode_timer_fired(body: JsonObject) -> TimerFired:
     """Decode the expiry of a timer."""
     return TimerFired(body[TIMER_TOKEN])
 
 
-def write_action(action: actions.Action) -> JsonObject:  # noqa: PLR0911 (one return per action)
+def encode_action(action: actions.Action) -> JsonObject:  # noqa: PLR0911 (one return per action)
     """Encode an action as the message that requests it; mypy reports an action without a case."""
     match action:
         case actions.SendRequest():
@@ -213,17 +213,17 @@
             assert_never(action)
 
 
-def write_exception(text: str) -> JsonObject:
+def encode_exception(text: str) -> JsonObject:
     """Build the message that reports an exception of the decision module."""
     return {EXCEPTION: {TEXT: text}}
 
 
 # Decoders by message name. Messages with other names are ignored.
-EVENT_READERS: dict[str, Callable[[JsonObject], Event | None]] = {
-    ENDPOINTS: read_endpoints,
-    REQUEST: read_request,
-    REQUEST_CANCELLED: read_request_cancelled,
-    ATTEMPT_ENDED: read_attempt_ended,
-    INSTANCES_REPORT: read_instances_report,
-    TIMER_FIRED: read_timer_fired,
+EVENT_DECODERS: dict[str, Callable[[JsonObject], Event | None]] = {
+    ENDPOINTS: decode_endpoints,
+    REQUEST: decode_request,
+    REQUEST_CANCELLED: decode_request_cancelled,
+    ATTEMPT_ENDED: decode_attempt_ended,
+    INSTANCES_REPORT: decode_instances_report,
+    TIMER_FIRED: decode_timer_fired,
 }
--- a/tests/net/test_attempt_report.py
+++ b/tests/net/test_attempt_report.py
@@ -37,14 +37,14 @@
 def test_in_flight_is_bounded_and_reported_for_some_outcomes(attempt, outcome, in_flight, reported):
     answer = make_answer(outcome, in_flight)
 
-    report = AttemptReport.from_result(attempt, answer, reports_in_flight=True)
+    report = AttemptReport.from_result(attempt, answer, workers_report_in_flight=True)
 
     assert (report.outcome, report.start_kind, report.in_flight) == (outcome, StartKind.WARM, reported)
     assert report.description == f"{outcome.name} WARM in flight {reported}"
 
 
 def test_in_flight_is_left_out_where_workers_do_not_report_it(attempt):
-    report = AttemptReport.from_result(attempt, make_answer(Outcome.OK, 3), reports_in_flight=False)
+    report = AttemptReport.from_result(attempt, make_answer(Outcome.OK, 3), workers_report_in_flight=False)
 
     assert report.in_flight is None
 
@@ -52,7 +52,7 @@
 def test_attempt_that_was_not_sent_names_the_cause(attempt):
     attempt.not_sent_reason = NotSentReason.CLIENT_GONE
 
-    report = AttemptReport.from_result(attempt, CloseReason.NOT_SENT, reports_in_flight=True)
+    report = AttemptReport.from_result(attempt, CloseReason.NOT_SENT, workers_report_in_flight=True)
 
     assert report == AttemptReport(Outcome.NOT_SENT, StartKind.UNKNOWN, None, "NOT_SENT (CLIENT_GONE)")
 
@@ -61,6 +61,6 @@
 def test_reset_counts_as_a_run_only_after_the_first_byte(attempt, written, outcome):
     attempt.pending_write = PendingWrite(b"frame", written)
 
-    report = AttemptReport.from_result(attempt, CloseReason.RESET_BY_PEER, reports_in_flight=True)
+    report = AttemptReport.from_result(attempt, CloseReason.RESET_BY_PEER, workers_report_in_flight=True)
 
     assert (report.outcome, report.description) == (outcome, "RESET_BY_PEER")
--- a/tests/net/test_idle_limit.py
+++ b/tests/net/test_idle_limit.py
@@ -6,7 +6,7 @@
 
 
 def test_limit_starts_below_the_keepalive():
-    assert IdleLimit(keepalive_ms=1_000.0).limit_ms == pytest.approx(700.0)
+    assert IdleLimit(connection_keepalive_ms=1_000.0).limit_ms == pytest.approx(700.0)
 
 
 @pytest.mark.parametrize(
@@ -15,7 +15,7 @@
     ids=["lowers-it", "never-below-the-minimum", "idle-too-short-to-count", "never-raises-it"],
 )
 def test_stale_connection_lowers_the_limit_below_its_idle_time(idle_ms, limit_ms):
-    limit = IdleLimit(keepalive_ms=1_000.0)
+    limit = IdleLimit(connection_keepalive_ms=1_000.0)
 
     limit.on_stale_connection(idle_ms)
 
@@ -23,7 +23,7 @@
 
 
 def test_limit_grows_back_to_where_it_started_and_no_further():
-    limit = IdleLimit(keepalive_ms=1_000.0)
+    limit = IdleLimit(connection_keepalive_ms=1_000.0)
     limit.on_stale_connection(500.0)
 
     limit.grow()
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -44,7 +44,7 @@
 def test_reload_logs_the_changed_keys_that_take_effect_only_at_startup(harness, make_reload):
     config = harness.router_process.config
     settings = msgspec.structs.replace(config.settings, zone="other")
-    transport = msgspec.structs.replace(config.transport, keepalive_ms=1.0)
+    transport = msgspec.structs.replace(config.transport, connection_keepalive_ms=1.0)
     new_config = msgspec.structs.replace(
         config, name="other", memory_mb=1, settings=settings, transport=transport
     )
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -25,7 +25,7 @@
 
     assert (config.listen, config.name, config.seed) == (("127.0.0.1", 0), "", 0x8C1F)
     assert (config.memory_mb, config.max_sockets, config.initial_sequence) == (192, 1024, 0)
-    assert config.transport.keepalive_ms == 15_000.0
+    assert config.transport.connection_keepalive_ms == 15_000.0
 
 
 def test_environment_takes_precedence_over_listen_and_name():
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -48,7 +48,7 @@
     os.close(pipe)
 
 
-def assert_served_from_sequence_1_until_sigterm(launcher, program):
+def assert_follows_newest_log_and_exits_on_sigterm(launcher, program):
     """Check that the program requests events after number 1 from the newest log, and exits on SIGTERM."""
     while not launcher.endpoint_log.requests():
         launcher.endpoint_log.receive()
@@ -97,7 +97,7 @@
     write_to_pipe(path, msgspec.json.encode(second))
 
     assert "configuration reloaded" in program.stderr.readline()
-    assert_served_from_sequence_1_until_sigterm(launcher, program)
+    assert_follows_newest_log_and_exits_on_sigterm(launcher, program)
 
 
 @pytest.mark.parametrize(
@@ -124,7 +124,7 @@
 
     assert "configuration not reloaded" in line
     assert key in line
-    assert_served_from_sequence_1_until_sigterm(launcher, program)
+    assert_follows_newest_log_and_exits_on_sigterm(launcher, program)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -214,7 +214,7 @@
 
 
 # An action of each type, and the message to which it is encoded.
-WRITTEN_ACTIONS = [
+ENCODED_ACTIONS = [
     (actions.SendRequest("t/x", 11), {"ATTEMPT": {"tid": "t/x", "worker": 11}}),
     (actions.CancelAttempt("t/x", 2), {"STOP_ATTEMPT": {"tid": "t/x", "try": 2}}),
     (actions.RejectRequest("t/x", 250.0), {"SAY_NO": {"tid": "t/x", "hold_off": 250.0}}),
@@ -227,7 +227,7 @@
 ]
 
 # Messages that are events, and the events to which they are decoded.
-READ_EVENTS = [
+DECODED_EVENTS = [
     (
         {"TARGETS": {"kind": 1, "entries": [{"worker": 11, "state": 2, "hall": "b", "up_since": 0}]}},
         events.EndpointsChanged([events.Endpoint(11, WorkerState.DRAINING, zone="b")], is_complete=True),
@@ -309,8 +309,8 @@
 ]
 
 
-@pytest.mark.parametrize(("action", "message"), WRITTEN_ACTIONS)
-def test_action_is_written_as_its_message(action, message):
+@pytest.mark.parametrize(("action", "message"), ENCODED_ACTIONS)
+def test_action_is_encoded_as_its_message(action, message):
     adapter = adapter_with(RecordingRouter(action))
 
     reply = adapter.answer(batch(1.0, (3, [{"DEADLINE_HIT": {"handle": 0}}])))
@@ -319,11 +319,11 @@
 
 
 def test_each_action_has_a_case_above():
-    assert {type(action) for action, _ in WRITTEN_ACTIONS} == set(get_args(actions.Action))
+    assert {type(action) for action, _ in ENCODED_ACTIONS} == set(get_args(actions.Action))
 
 
-@pytest.mark.parametrize(("message", "event"), READ_EVENTS)
-def test_message_is_read_as_its_event(message, event):
+@pytest.mark.parametrize(("message", "event"), DECODED_EVENTS)
+def test_message_is_decoded_as_its_event(message, event):
     router = RecordingRouter()
 
     adapter_with(router).answer(batch(1.0, (3, [message])))
@@ -339,7 +339,7 @@
         events.HealthChecked,
     }
 
-    assert {type(event) for _, event in READ_EVENTS} == set(get_args(events.Event)) - events_of_the_network
+    assert {type(event) for _, event in DECODED_EVENTS} == set(get_args(events.Event)) - events_of_the_network
 
 
 def test_unavailable_endpoint_list_causes_no_event():
