--- a/function_router/config/conversion.py
+++ b/function_router/config/conversion.py
@@ -1,4 +1,4 @@
-"""Converts sections of the configuration, which have the operator's names, to the program's settings."""
+"""Converts sections of the configuration, with the operator's key names, to the program's settings."""
 
 from function_router.config.schema import (
     FIXED_WEIGHT_SOURCES,
--- a/function_router/config/errors.py
+++ b/function_router/config/errors.py
@@ -18,7 +18,7 @@
 
 
 class UnreadableFileError(ConfigurationError):
-    """The configuration file could not be read. Another attempt may succeed.
+    """The configuration file could not be read. Reading it later may succeed.
 
     Attributes:
         errno: The error number of the failed system call. The attribute has the same name as that of OSError,
--- a/function_router/config/types.py
+++ b/function_router/config/types.py
@@ -14,7 +14,7 @@
     """Settings of the network code."""
 
     connect_timeout_ms: float = 250.0
-    connection_keepalive_ms: float = 15_000.0
+    connection_keepalive_ms: float = 15_000.0  # how long workers keep an idle connection open
     max_exchanges_per_connection: int = 32
     max_pending_requests: int = 20_000
     max_retry_after_ms: float = 0.0  # maximum retry-after delay sent to a client; 0: none may be sent
--- a/function_router/simulator_adapter.py
+++ b/function_router/simulator_adapter.py
@@ -1,8 +1,9 @@
-"""Runs the decision module for simulated routers; the simulator uses standard input and standard output.
+"""Runs the decision module for simulated routers, over standard input and standard output.
 
-Run as ``python -m function_router.simulator_adapter``. Each line of standard input is a batch of messages in
-JSON. The adapter answers each batch with one line of JSON on standard output.
-`function_router.simulator_codec` converts the messages in batches and replies.
+Run as ``python -m function_router.simulator_adapter``. Each line of standard input is a batch: the time, and
+the messages for each router. The adapter answers a batch with a reply, one line of standard output with the
+messages of each router. Batches and replies are JSON; `function_router.simulator_codec` decodes and encodes
+their messages.
 """
 
 import gc
@@ -26,11 +27,11 @@
     encode_exception,
 )
 
-# Fields of a batch and of its reply; a reply has only ROUTER_BATCHES.
+# Fields of a batch. A reply has only ROUTER_BATCHES.
 BATCH_TIME = "wall"
 ROUTER_BATCHES = "ends"
 
-# Fields of an element of ROUTER_BATCHES.
+# Fields of an element of ROUTER_BATCHES: MESSAGES in a batch, REPLY_MESSAGES in a reply, ROUTER_ID in both.
 ROUTER_ID = "who"
 MESSAGES = "inbox"
 REPLY_MESSAGES = "steps"
@@ -41,7 +42,7 @@
 EXIT_OK = 0
 EXIT_INVALID_BATCH = 2
 
-# Event readers raise these if the body of a message lacks a field or has a field of the wrong type.
+# Exceptions raised if the body of a message lacks a field, or has one with a wrong type or an invalid value.
 INVALID_BODY_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 
 
@@ -77,10 +78,10 @@
         return json.dumps({ROUTER_BATCHES: router_replies}, separators=COMPACT_SEPARATORS)
 
     def _handle_messages(self, router_id: int, now_ms: float, messages: list[Any]) -> list[JsonObject]:
-        """Process the messages of one router and return its replies.
+        """Process the messages for one router, and return the messages of its reply.
 
-        The router handles its events as one batch. If it is restarted in between, the events before and after
-        the restart are separate batches.
+        The router gets all events in one call. If a message starts or kills the router, the events before
+        this message are passed to the old router, and those after it to the new one.
         """
         reply_messages: list[JsonObject] = []
         events: list[Event] = []
@@ -102,7 +103,10 @@
         return reply_messages + self._handle(router_id, now_ms, events)
 
     def _handle(self, router_id: int, now_ms: float, events: list[Event]) -> list[JsonObject]:
-        """Pass events to a router, and return its actions, or the exception that it raises, as messages."""
+        """Pass events to a router, and return its actions, or the exception that it raises, as messages.
+
+        Events for a router that is not running are ignored.
+        """
         if not events or router_id not in self.routers:
             return []
         try:
--- a/function_router/simulator_codec.py
+++ b/function_router/simulator_codec.py
@@ -1,8 +1,8 @@
 """Codec of the simulator's protocol: decodes JSON messages to events, and encodes actions as JSON messages.
 
-A message is an object with one key, the name of the message, whose value is the body. The operator's protocol
-page defines the names of the messages and their fields; an "instance of the front end" on that page is a
-router here. Absent and null fields take their defaults. Times are milliseconds.
+A message is an object with one key, the name of the message, whose value is the body. The operator defines
+the names of the messages and of their fields; what the operator calls an "instance of the front end" is a
+router here. Optional fields that are absent or null take their defaults. Times are milliseconds.
 """
 
 from collections.abc import Callable
@@ -69,9 +69,9 @@
 ENDPOINT_SIZE = "units"
 ENDPOINT_STARTED_AT = "up_since"
 
-# Values of LIST_KIND. A list with any other value is a list of changes, too.
+# Values of LIST_KIND. A list with a value that is not named here is a list of changes, as with CHANGES_ONLY.
 CHANGES_ONLY = 0
-COMPLETE_LIST_KINDS = (1, 2)  # the current list, and the list that the router received last
+COMPLETE_LIST_KINDS = (1, 2)  # 1: the current list; 2: the list that the router received last
 LIST_UNAVAILABLE = 3
 
 # Fields of REQUEST.
@@ -214,11 +214,12 @@
 
 
 def encode_exception(text: str) -> JsonObject:
-    """Build the message that reports an exception of the decision module."""
+    """Encode the description of an exception of the decision module as a message."""
     return {EXCEPTION: {TEXT: text}}
 
 
-# Decoders by message name. Messages with other names are ignored.
+# Decoders by message name. The adapter ignores messages that have no decoder here, except ROUTER_STARTED and
+# ROUTER_KILLED, which it handles itself.
 EVENT_DECODERS: dict[str, Callable[[JsonObject], Event | None]] = {
     ENDPOINTS: decode_endpoints,
     REQUEST: decode_request,
--- a/tests/helpers/decision_harness.py
+++ b/tests/helpers/decision_harness.py
@@ -24,7 +24,7 @@
 )
 AT_MOST_ONCE = RequestClass("at-most-once", 1000.0, 4000.0, RetrySafety.AT_MOST_ONCE)
 
-TIMER_STEP_MS = 20  # interval of the timer events; the router requests longer ones
+TIMER_STEP_MS = 20  # interval between timer events; shorter than the delays that the router requests
 ATTEMPT_DURATION_MS = 100.0  # duration that is reported for each attempt
 
 MANY_ROUTERS_WORKERS = 20  # number of workers that the routers of `many_routers` share
--- a/tests/helpers/process_harness.py
+++ b/tests/helpers/process_harness.py
@@ -20,7 +20,7 @@
 UNLISTED_WORKER_ID = 9
 OTHER_UNLISTED_WORKER_ID = 10
 
-FIRST_ROUND_TRIP_SEQID = 1000  # of status requests; higher than those of the tests' requests
+FIRST_ROUND_TRIP_SEQID = 1000  # first sequence number of status requests; tests use lower ones
 
 
 class ProcessHarness:
--- a/tests/helpers/serving_worker.py
+++ b/tests/helpers/serving_worker.py
@@ -7,7 +7,8 @@
 from function_router.net.codecs import worker_frames
 from helpers.fake_worker import FakeWorker
 
-# Codes of health check frames, as in the operator's protocol page.
+# Codes of health check frames, which the operator's protocol defines. They are repeated here, so that a test
+# fails if `worker_frames` has a wrong one.
 HEALTH_CHECK = 3
 READY_ANSWER = 6
 DRAINING_ANSWER = 7
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -49,7 +49,10 @@
 
 
 def assert_follows_newest_log_and_exits_on_sigterm(launcher, program):
-    """Check that the program requests events after number 1 from the newest log, and exits on SIGTERM."""
+    """Check that the program requests the events after number 1 from the endpoint log that was opened last.
+
+    Then send SIGTERM, and check that the program exits with status 0.
+    """
     while not launcher.endpoint_log.requests():
         launcher.endpoint_log.receive()
     assert launcher.endpoint_log.requests() == [["since", "1"]]
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -65,7 +65,7 @@
 
 
 def traffic_batches(*router_ids):
-    """Encode batches with the same requests, for several functions, for each of the routers."""
+    """Encode batches in which each router receives the same requests, which are for several functions."""
     lines = [batch(100.0, *((router_id, router_start()) for router_id in router_ids))]
     for number in range(30):
         function = f"fn:{number % 7}"
--- a/tests/test_stale_endpoint_list.py
+++ b/tests/test_stale_endpoint_list.py
@@ -19,7 +19,7 @@
 from soak.endpoint_log import LogFailure
 
 DRAIN_GRACE_MS = 1_000.0
-GRACE_S = DRAIN_GRACE_MS / 1000 + 0.05  # after the notification, with the protocol's allowance for sockets
+GRACE_S = DRAIN_GRACE_MS / 1000 + 0.05  # from the notification; with the protocol's allowance for sockets
 NOTIFIED_AFTER_BREAK_S = 2.0
 NOTIFIED_AFTER_SILENCE_S = 4.0
 
