--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -16,7 +16,7 @@
 from soak.router_config import RouterConfig, make_settings
 from soak.router_slot import RouterSlot
 from soak.run_folder import RunFolder
-from soak.run_record import LogOutage, RouterIncarnation, WorkerIncarnation
+from soak.run_record import EndpointLogOutage, RouterIncarnation, WorkerIncarnation
 from soak.traffic import Traffic
 from soak.worker_slot import WorkerSlot
 
@@ -36,7 +36,7 @@
         workers: The worker slots; the index is the slot's number.
         endpoints: The endpoint events, and the endpoint log of each router.
         traffic: The control of the clients.
-        log_outages: The outages of all endpoint logs that have ended.
+        endpoint_log_outages: The outages of all endpoint logs that have ended.
     """
 
     endpoints: EndpointFeed
@@ -47,7 +47,7 @@
         self.rng = random.Random(plan.seed + 1)
         self.routers: list[RouterSlot] = []
         self.workers: list[WorkerSlot] = []
-        self.log_outages: list[LogOutage] = []
+        self.endpoint_log_outages: list[EndpointLogOutage] = []
         self._folder = folder
         self._shim = shim
         self._ports = PortAllocator(OTHER_PORTS)
@@ -102,7 +102,7 @@
         router.write_shim_control()
         await starting
 
-    async def drain(self) -> None:
+    async def finish(self) -> None:
         """Stop the traffic, terminate the routers as a deployment would, and complete all records."""
         await self.traffic.stop()
         await self._clients.finish(FINISH_TIMEOUT_S)
--- a/soak/endpoint_log.py
+++ b/soak/endpoint_log.py
@@ -34,7 +34,7 @@
 KNOWN_SEQUENCE_INDEX = 1
 
 
-class LogFailure(Enum):
+class EndpointLogFailure(Enum):
     """The ways in which a log fails during a long outage; a fault's intensity selects one by position."""
 
     REFUSES = auto()  # closes its connections, and refuses new ones
@@ -64,7 +64,7 @@
         self._to_wire = to_wire
         self._ports = ports
         self._is_silent = False
-        self._failure: LogFailure | None = None
+        self._failure: EndpointLogFailure | None = None
         self._earliest_notified_at = 0.0  # monotonic seconds; no event counts as notified earlier
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
@@ -77,7 +77,7 @@
     async def start(self) -> None:
         """Listen on the previous port, or on a new one after a move, unless the log refuses connections."""
         self.port = self.port or self._ports.allocate()
-        if self._failure is not LogFailure.REFUSES and self._server is None:
+        if self._failure is not EndpointLogFailure.REFUSES and self._server is None:
             self._server = await listen(self._serve, self.port)
 
     async def publish(self) -> None:
@@ -113,11 +113,11 @@
         await asyncio.sleep(seconds)
         await self.start()
 
-    async def fail(self, failure: LogFailure, seconds: float) -> None:
+    async def fail(self, failure: EndpointLogFailure, seconds: float) -> None:
         """Fail in one way for a time, then work again."""
-        if failure is LogFailure.FLAPS:
+        if failure is EndpointLogFailure.FLAPS:
             await self._flap(seconds)
-        elif failure is LogFailure.REFUSES:
+        elif failure is EndpointLogFailure.REFUSES:
             self._failure = failure
             await self.refuse_connections(seconds)
         else:
@@ -174,7 +174,7 @@
                 known_sequence = self._send_update(writer, known_sequence)
                 await writer.drain()
             async with self._published:
-                pause_s = TRICKLE_INTERVAL_S if self._failure is LogFailure.TRICKLES else HEARTBEAT_S
+                pause_s = TRICKLE_INTERVAL_S if self._failure is EndpointLogFailure.TRICKLES else HEARTBEAT_S
                 try:
                     await asyncio.wait_for(self._published.wait(), pause_s)
                 except TimeoutError:
@@ -184,15 +184,15 @@
         """Send new events and a heartbeat, or what the failure prescribes; return the new known sequence."""
         last_sequence = self._events[-1].sequence
         match self._failure:
-            case LogFailure.IS_SILENT | LogFailure.REFUSES:
+            case EndpointLogFailure.IS_SILENT | EndpointLogFailure.REFUSES:
                 return known_sequence
-            case LogFailure.TRICKLES:
+            case EndpointLogFailure.TRICKLES:
                 writer.write(b" ")
                 return known_sequence
-            case LogFailure.ANNOUNCES_MISSING_EVENTS:
+            case EndpointLogFailure.ANNOUNCES_MISSING_EVENTS:
                 writer.write(HEARTBEAT % (last_sequence + SEQUENCES_AHEAD))
                 return known_sequence
-            case LogFailure.IS_BEHIND:
+            case EndpointLogFailure.IS_BEHIND:
                 writer.write(HEARTBEAT % 0)
                 return known_sequence
         for event in self._events:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from soak.cluster import Cluster
-from soak.log_outage import inject_log_outage
+from soak.log_outage import inject_endpoint_log_outage
 from soak.plan import Fault, FaultKind
 from soak.router_slot import RouterSlot
 from soak.worker_changes import drain_and_replace, publish_ready
@@ -61,7 +61,7 @@
     """
     ending = asyncio.create_task(router.terminate())
     await asyncio.sleep(SIGTERM_DETECTION_S)
-    await cluster.traffic.open_no_connections(router.number)
+    await cluster.traffic.stop_connecting_to(router.number)
     await ending
     await cluster.traffic.avoid_router(router.number)
     await _restart_router(cluster, router)
@@ -244,13 +244,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogFault:
+class EndpointLogFault:
     """A fault of all endpoint logs, which also replaces workers, and excludes other faults of their slots."""
 
     inject: Callable[[Cluster, list[WorkerSlot], Fault], Awaitable[None]]
 
 
-FAULTS: Final[dict[FaultKind, RouterFault | WorkerFault | ClientFault | LogFault]] = {
+FAULTS: Final[dict[FaultKind, RouterFault | WorkerFault | ClientFault | EndpointLogFault]] = {
     FaultKind.ROUTER_ROLL: RouterFault(roll_router),
     FaultKind.ROUTER_KILL: RouterFault(kill_router),
     FaultKind.ROUTER_PAUSE: RouterFault(pause_router),
@@ -268,6 +268,6 @@
     FaultKind.WORKER_REFUSES: WorkerFault(refuse_connections),
     FaultKind.BURST: ClientFault(raise_request_rate),
     FaultKind.BAD_CLIENTS: ClientFault(add_bad_clients),
-    FaultKind.ENDPOINT_LOGS_OUT: LogFault(inject_log_outage),
+    FaultKind.ENDPOINT_LOGS_OUT: EndpointLogFault(inject_endpoint_log_outage),
     FaultKind.SIGNAL_SERIES: RouterFault(send_signal_series),
 }
--- a/soak/figures.py
+++ b/soak/figures.py
@@ -8,7 +8,7 @@
 
 from soak.history import RequestHistory, RunHistory
 from soak.records import AnswerKind
-from soak.run_record import LogOutage
+from soak.run_record import EndpointLogOutage
 
 SLOW_TURN_TEXT = "slow turn"  # part of the log line about a slow event loop iteration
 
@@ -18,7 +18,7 @@
     figures: Counter[str] = Counter()
     for request in history.requests:
         _count_request(request, figures)
-        _count_served(request, history.record.log_outages, figures)
+        _count_served(request, history.record.endpoint_log_outages, figures)
     incarnations = history.record.router_incarnations
     figures["router incarnations"] = len(incarnations)
     figures["ended by SIGKILL after SIGTERM"] = sum(each.forced_kill_at is not None for each in incarnations)
@@ -38,7 +38,9 @@
         figures[f"answered {request.answers[0].kind}"] += 1
 
 
-def _count_served(request: RequestHistory, outages: Sequence[LogOutage], figures: Counter[str]) -> None:
+def _count_served(
+    request: RequestHistory, outages: Sequence[EndpointLogOutage], figures: Counter[str]
+) -> None:
     """Count sent and served requests in and outside of outages, without those that clients abandoned."""
     if request.client_gone or not outages:
         return
--- a/soak/injector.py
+++ b/soak/injector.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from soak.cluster import Cluster
-from soak.faults import FAULTS, ClientFault, LogFault, RouterFault, WorkerFault
+from soak.faults import FAULTS, ClientFault, EndpointLogFault, RouterFault, WorkerFault
 from soak.plan import Fault
 
 
@@ -16,7 +16,7 @@
         self._cluster = cluster
         self._busy_routers: set[int] = set()
         self._busy_workers: set[int] = set()
-        self._is_log_outage_active = False
+        self._is_endpoint_log_outage_active = False
 
     async def inject(self, fault: Fault) -> None:
         """Inject a fault, and wait until it is over; an exclusive fault skips reserved targets."""
@@ -30,21 +30,21 @@
                 with _reserve(fault.workers, self._busy_workers) as workers:
                     slots = [self._cluster.workers[number] for number in workers]
                     await asyncio.gather(*(worker_fault.inject(self._cluster, slot, fault) for slot in slots))
-            case LogFault() as log_fault:
-                await self._inject_into_logs(log_fault, fault)
+            case EndpointLogFault() as endpoint_log_fault:
+                await self._inject_into_endpoint_logs(endpoint_log_fault, fault)
             case ClientFault() as client_fault:
                 await client_fault.inject(self._cluster, fault)
 
-    async def _inject_into_logs(self, log_fault: LogFault, fault: Fault) -> None:
+    async def _inject_into_endpoint_logs(self, endpoint_log_fault: EndpointLogFault, fault: Fault) -> None:
         """Inject a fault of all endpoint logs unless one is active; reserve the workers that it replaces."""
-        if self._is_log_outage_active:
+        if self._is_endpoint_log_outage_active:
             return
-        self._is_log_outage_active = True
+        self._is_endpoint_log_outage_active = True
         with _reserve(fault.workers, self._busy_workers) as workers:
-            await log_fault.inject(
+            await endpoint_log_fault.inject(
                 self._cluster, [self._cluster.workers[number] for number in workers], fault
             )
-        self._is_log_outage_active = False
+        self._is_endpoint_log_outage_active = False
 
     async def _inject_into_routers(self, router_fault: RouterFault, fault: Fault, numbers: list[int]) -> None:
         routers = [self._cluster.routers[number] for number in numbers]
--- a/soak/log_outage.py
+++ b/soak/log_outage.py
@@ -4,9 +4,9 @@
 import time
 
 from soak.cluster import Cluster
-from soak.endpoint_log import LogFailure
+from soak.endpoint_log import EndpointLogFailure
 from soak.plan import Fault
-from soak.run_record import LogOutage
+from soak.run_record import EndpointLogOutage
 from soak.worker_changes import drain_and_replace
 from soak.worker_slot import WorkerSlot
 
@@ -17,15 +17,15 @@
 MAX_DRAINED_AT_ONCE = 2
 
 
-async def inject_log_outage(cluster: Cluster, slots: list[WorkerSlot], fault: Fault) -> None:
+async def inject_endpoint_log_outage(cluster: Cluster, slots: list[WorkerSlot], fault: Fault) -> None:
     """Fail all endpoint logs in the same way, and meanwhile drain and replace workers."""
-    failures = list(LogFailure)
+    failures = list(EndpointLogFailure)
     failure = failures[int(fault.intensity * len(failures))]
     outage_s = cluster.plan.log_outage_s or LOG_OUTAGE_FACTOR * fault.duration_s
     began = time.monotonic()
     outages = [server.fail(failure, outage_s) for server in cluster.endpoints.servers]
     await asyncio.gather(*outages, _replace_workers(cluster, slots, outage_s))
-    cluster.log_outages.append(LogOutage(failure.name, began, time.monotonic()))
+    cluster.endpoint_log_outages.append(EndpointLogOutage(failure.name, began, time.monotonic()))
 
 
 async def _replace_workers(cluster: Cluster, slots: list[WorkerSlot], outage_s: float) -> None:
--- a/soak/router_slot.py
+++ b/soak/router_slot.py
@@ -19,9 +19,9 @@
 READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.02  # between two status requests
 EXIT_TIMEOUT_S = 30.0  # after SIGKILL
-# The time from SIGTERM to SIGKILL is the longest timeout of a request, limited to MAX_KILL_TIMEOUT_S, plus
-# KILL_GRACE_S. `function_router.net.drain` relies on both values.
-MAX_KILL_TIMEOUT_S = 3.0
+# The time from SIGTERM to SIGKILL is the longest timeout of a request, limited to
+# MAX_TIMEOUT_BEFORE_KILL_S, plus KILL_GRACE_S. `function_router.net.drain` relies on both values.
+MAX_TIMEOUT_BEFORE_KILL_S = 3.0
 KILL_GRACE_S = 0.7
 LOG_READ_BYTES = 4096  # small, so that the pipe fills up soon while the log is not read
 LOG_POLL_S = 0.05  # between checks whether to read the log again
@@ -105,7 +105,9 @@
         """Send SIGTERM, then SIGKILL if the process outlives the longest request timeout plus a margin."""
         self.incarnation.sigterm_at = time.monotonic()
         self._send_signal(signal.SIGTERM)
-        if not await self._record_exit(min(site.MAX_TIMEOUT_MS / 1000, MAX_KILL_TIMEOUT_S) + KILL_GRACE_S):
+        if not await self._record_exit(
+            min(site.MAX_TIMEOUT_MS / 1000, MAX_TIMEOUT_BEFORE_KILL_S) + KILL_GRACE_S
+        ):
             self.incarnation.forced_kill_at = time.monotonic()
             self._send_signal(signal.SIGKILL)
             await self._record_exit(EXIT_TIMEOUT_S)
--- a/soak/run.py
+++ b/soak/run.py
@@ -26,9 +26,9 @@
     shim = build_shim(folder.path) if uses_shim else None
     async with Cluster(plan, folder, shim) as cluster:
         await _inject_on_schedule(plan, FaultInjector(cluster))
-        await cluster.drain()
+        await cluster.finish()
     return RunRecord(
-        plan, folder, cluster.router_incarnations, cluster.worker_incarnations, cluster.log_outages
+        plan, folder, cluster.router_incarnations, cluster.worker_incarnations, cluster.endpoint_log_outages
     )
 
 
--- a/soak/run_record.py
+++ b/soak/run_record.py
@@ -57,8 +57,15 @@
 
 
 @dataclass(frozen=True)
-class LogOutage:
-    """A period in which the endpoint logs of all routers failed; `failure` is the name of a `LogFailure`."""
+class EndpointLogOutage:
+    """An outage of the endpoint logs of all routers, and the replacement of workers that accompanies it.
+
+    Attributes:
+        failure: The name of an `EndpointLogFailure`.
+        began_at: When the logs began to fail.
+        ended_at: When the logs worked again and the last replacement of a worker was over. The logs may have
+            worked for a while by then.
+    """
 
     failure: str
     began_at: float
@@ -74,11 +81,11 @@
         folder: The folder with the records of clients and proxy, and the routers' logs.
         router_incarnations: All processes of routers, ordered by router and then by start time.
         worker_incarnations: All processes of workers, ordered by start time.
-        log_outages: The outages of all endpoint logs, ordered by end time.
+        endpoint_log_outages: The outages of all endpoint logs, ordered by end time.
     """
 
     plan: Plan
     folder: RunFolder
     router_incarnations: list[RouterIncarnation]
     worker_incarnations: list[WorkerIncarnation]
-    log_outages: list[LogOutage] = field(default_factory=list)
+    endpoint_log_outages: list[EndpointLogOutage] = field(default_factory=list)
--- a/soak/traffic.py
+++ b/soak/traffic.py
@@ -35,7 +35,7 @@
         """Send requests to a router, at the given port."""
         await self._set_port(router, port)
 
-    async def open_no_connections(self, router: int) -> None:
+    async def stop_connecting_to(self, router: int) -> None:
         """Open no more connections to a router, but keep using open ones."""
         await self._change(open_only=[*self._command.open_only, router])
 
--- a/soak/worker_rules.py
+++ b/soak/worker_rules.py
@@ -38,12 +38,12 @@
     incarnations = history.record.worker_incarnations
     for incarnation in incarnations:
         if incarnation.drain_notified_at:
-            successors = [
+            successor_starts = [
                 each.started_at
                 for each in incarnations
                 if each.worker == incarnation.worker and each.started_at > incarnation.started_at
             ]
-            yield from _check_drain(history, incarnation, min(successors, default=math.inf))
+            yield from _check_drain(history, incarnation, min(successor_starts, default=math.inf))
 
 
 def _check_drain(
--- a/tests/helpers/faulty_endpoint_log.py
+++ b/tests/helpers/faulty_endpoint_log.py
@@ -4,7 +4,7 @@
 import time
 
 from helpers.fake_endpoint_log import FakeEndpointLog
-from soak.endpoint_log import HEARTBEAT, HEARTBEAT_S, SEQUENCES_AHEAD, TRICKLE_INTERVAL_S, LogFailure
+from soak.endpoint_log import HEARTBEAT, HEARTBEAT_S, SEQUENCES_AHEAD, TRICKLE_INTERVAL_S, EndpointLogFailure
 
 OLD_SEQUENCE = 0
 
@@ -12,7 +12,7 @@
 class FaultyEndpointLog(FakeEndpointLog):
     """An endpoint log that sends heartbeats on each connection that has requested events.
 
-    It supports all failures of the soak test's endpoint log except `LogFailure.FLAPS`.
+    It supports all failures of the soak test's endpoint log except `EndpointLogFailure.FLAPS`.
 
     Attributes:
         fault: The current failure; None if there is none.
@@ -28,7 +28,7 @@
     def fail(self, fault):
         """Start to fail in this way."""
         self.fault = fault
-        if fault is LogFailure.REFUSES:
+        if fault is EndpointLogFailure.REFUSES:
             self.close()
             self.connections.clear()
 
@@ -49,9 +49,9 @@
 
     def _send_when_due(self, connection):
         now_s = time.monotonic()
-        if now_s < self._next_at_s.get(connection, 0.0) or self.fault is LogFailure.IS_SILENT:
+        if now_s < self._next_at_s.get(connection, 0.0) or self.fault is EndpointLogFailure.IS_SILENT:
             return
-        is_trickle = self.fault is LogFailure.TRICKLES
+        is_trickle = self.fault is EndpointLogFailure.TRICKLES
         self._next_at_s[connection] = now_s + (TRICKLE_INTERVAL_S if is_trickle else HEARTBEAT_S)
         try:
             connection.sock.sendall(b" " if is_trickle else HEARTBEAT % self._announced_sequence())
@@ -59,6 +59,6 @@
             connection.is_closed = True
 
     def _announced_sequence(self):
-        if self.fault is LogFailure.ANNOUNCES_MISSING_EVENTS:
+        if self.fault is EndpointLogFailure.ANNOUNCES_MISSING_EVENTS:
             return self.last_sequence + SEQUENCES_AHEAD
-        return OLD_SEQUENCE if self.fault is LogFailure.IS_BEHIND else self.last_sequence
+        return OLD_SEQUENCE if self.fault is EndpointLogFailure.IS_BEHIND else self.last_sequence
--- a/tests/soak_test/test_endpoint_log.py
+++ b/tests/soak_test/test_endpoint_log.py
@@ -9,7 +9,7 @@
 
 from soak import endpoint_log
 from soak.endpoint_events import Endpoint, EndpointEvent, EndpointPhase
-from soak.endpoint_log import EndpointLogServer, LogFailure
+from soak.endpoint_log import EndpointLogFailure, EndpointLogServer
 from soak.ports import PortAllocator
 
 PORTS = range(31_900, 32_000)  # the end of the soak test's range, which runs allocate last
@@ -159,8 +159,8 @@
         pytest.param(lambda server: server.move(), 4.0, id="moved"),
         pytest.param(lambda server: server.stay_silent(0.0), 4.0, id="silent"),
         pytest.param(lambda server: server.refuse_connections(0.0), 2.0, id="broken"),
-        pytest.param(lambda server: server.fail(LogFailure.REFUSES, 0.0), 2.0, id="refusing"),
-        pytest.param(lambda server: server.fail(LogFailure.TRICKLES, 0.0), 4.0, id="trickling"),
+        pytest.param(lambda server: server.fail(EndpointLogFailure.REFUSES, 0.0), 2.0, id="refusing"),
+        pytest.param(lambda server: server.fail(EndpointLogFailure.TRICKLES, 0.0), 4.0, id="trickling"),
     ],
 )
 def test_log_fault_delays_the_time_when_a_router_counts_as_notified(with_log, fail, delay_s):
@@ -184,8 +184,8 @@
 @pytest.mark.parametrize(
     ("failure", "line"),
     [
-        pytest.param(LogFailure.ANNOUNCES_MISSING_EVENTS, {"seq": 7}, id="ahead"),
-        pytest.param(LogFailure.IS_BEHIND, {"seq": 0}, id="behind"),
+        pytest.param(EndpointLogFailure.ANNOUNCES_MISSING_EVENTS, {"seq": 7}, id="ahead"),
+        pytest.param(EndpointLogFailure.IS_BEHIND, {"seq": 0}, id="behind"),
     ],
 )
 def test_log_that_fails_sends_false_numbers_and_no_event_until_it_works_again(with_log, failure, line):
@@ -202,7 +202,7 @@
 
 def test_log_that_trickles_completes_no_line_until_it_works_again(with_log):
     async def scenario(harness):
-        outage = asyncio.create_task(harness.server.fail(LogFailure.TRICKLES, SILENCE_S))
+        outage = asyncio.create_task(harness.server.fail(EndpointLogFailure.TRICKLES, SILENCE_S))
         await asyncio.sleep(0)
         connection = await harness.connect(known_sequence=1)
         await outage
@@ -217,7 +217,7 @@
     async def scenario(harness):
         connection = await harness.connect(known_sequence=2)
         await connection.read_line()
-        outage = asyncio.create_task(harness.server.fail(LogFailure.FLAPS, SILENCE_S))
+        outage = asyncio.create_task(harness.server.fail(EndpointLogFailure.FLAPS, SILENCE_S))
         end = await connection.read_line()
         await outage
         connection = await harness.connect(known_sequence=1)
@@ -228,7 +228,7 @@
 
 def test_log_that_moves_while_it_refuses_connections_listens_once_it_works_again(with_log):
     async def scenario(harness):
-        outage = asyncio.create_task(harness.server.fail(LogFailure.REFUSES, SILENCE_S))
+        outage = asyncio.create_task(harness.server.fail(EndpointLogFailure.REFUSES, SILENCE_S))
         await asyncio.sleep(0)
         await harness.server.move()
         with pytest.raises(ConnectionRefusedError):
--- a/tests/soak_test/test_faults.py
+++ b/tests/soak_test/test_faults.py
@@ -85,7 +85,7 @@
     assert set(FAULTS) == set(FaultKind)
 
 
-def test_kinds_that_exclude_no_other_fault_are_the_expected_ones():
+def test_kinds_are_registered_with_the_expected_exclusion():
     shared = {
         kind for kind, each in FAULTS.items() if isinstance(each, RouterFault) and not each.is_exclusive
     }
--- a/tests/soak_test/test_run.py
+++ b/tests/soak_test/test_run.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_run_with_all_faults_keeps_all_rules(seed):
+def test_run_with_drawn_faults_keeps_all_rules(seed):
     command = [sys.executable, "-m", "soak", "--seed", str(seed), "--seconds", "15", "--routers", "8"]
 
     run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S, check=False)
--- a/tests/soak_test/test_traffic.py
+++ b/tests/soak_test/test_traffic.py
@@ -40,7 +40,7 @@
     ("change", "command"),
     [
         (lambda traffic: traffic.avoid_router(0), ClientsCommand([0, 2], 50.0)),
-        (lambda traffic: traffic.open_no_connections(1), ClientsCommand([1, 2], 50.0, open_only=[1])),
+        (lambda traffic: traffic.stop_connecting_to(1), ClientsCommand([1, 2], 50.0, open_only=[1])),
         (lambda traffic: traffic.use_router(1, 3), ClientsCommand([1, 3], 50.0)),
         (lambda traffic: traffic.set_request_rate(70.0), ClientsCommand([1, 2], 70.0)),
         (lambda traffic: traffic.set_bad_client_rate(5.0), ClientsCommand([1, 2], 50.0, 5.0)),
@@ -59,7 +59,7 @@
 )
 def test_avoided_or_reused_router_is_removed_from_open_only(command_after, change):
     async def open_none_then_change(traffic):
-        await traffic.open_no_connections(1)
+        await traffic.stop_connecting_to(1)
         await change(traffic)
 
     assert command_after(open_none_then_change).open_only == []
--- a/tests/test_stale_endpoint_list.py
+++ b/tests/test_stale_endpoint_list.py
@@ -16,7 +16,7 @@
 from helpers.faulty_endpoint_log import FaultyEndpointLog
 from helpers.serving_worker import ServingWorker
 
-from soak.endpoint_log import LogFailure
+from soak.endpoint_log import EndpointLogFailure
 
 DRAIN_GRACE_MS = 1_000.0
 GRACE_S = DRAIN_GRACE_MS / 1000 + 0.05  # after the notification, with the protocol's allowance for sockets
@@ -108,11 +108,13 @@
 @pytest.mark.parametrize(
     ("fault", "notified_after_s"),
     [
-        pytest.param(LogFailure.REFUSES, NOTIFIED_AFTER_BREAK_S, id="refused"),
-        pytest.param(LogFailure.IS_SILENT, NOTIFIED_AFTER_SILENCE_S, id="silent"),
-        pytest.param(LogFailure.TRICKLES, NOTIFIED_AFTER_SILENCE_S, id="trickles"),
-        pytest.param(LogFailure.ANNOUNCES_MISSING_EVENTS, NOTIFIED_AFTER_SILENCE_S, id="announces too much"),
-        pytest.param(LogFailure.IS_BEHIND, NOTIFIED_AFTER_SILENCE_S, id="behind"),
+        pytest.param(EndpointLogFailure.REFUSES, NOTIFIED_AFTER_BREAK_S, id="refused"),
+        pytest.param(EndpointLogFailure.IS_SILENT, NOTIFIED_AFTER_SILENCE_S, id="silent"),
+        pytest.param(EndpointLogFailure.TRICKLES, NOTIFIED_AFTER_SILENCE_S, id="trickles"),
+        pytest.param(
+            EndpointLogFailure.ANNOUNCES_MISSING_EVENTS, NOTIFIED_AFTER_SILENCE_S, id="announces too much"
+        ),
+        pytest.param(EndpointLogFailure.IS_BEHIND, NOTIFIED_AFTER_SILENCE_S, id="behind"),
     ],
 )
 def test_worker_that_drains_during_a_log_outage_gets_no_new_work(cluster, fault, notified_after_s):
@@ -158,7 +160,7 @@
     cluster.run(BASELINE_S)
     baseline_rate = (len(restarted.new_work) + len(other.new_work)) / 2 / BASELINE_S
 
-    cluster.endpoint_log.fail(LogFailure.REFUSES)
+    cluster.endpoint_log.fail(EndpointLogFailure.REFUSES)
     cluster.run(STALE_AFTER_S)
     restarted.is_draining = True
     cluster.run(DRAIN_DURATION_S)
@@ -179,7 +181,7 @@
 
 
 def test_router_that_starts_during_a_log_outage_respects_the_drain_grace(make_cluster):
-    cluster = make_cluster(log_fault=LogFailure.IS_SILENT)
+    cluster = make_cluster(log_fault=EndpointLogFailure.IS_SILENT)
     [draining, _] = cluster.workers
     cluster.run(DRAIN_DELAY_S)
     drained_s = time.monotonic()
@@ -196,7 +198,7 @@
     cluster = make_cluster()
     [draining, _] = cluster.workers
     cluster.run(BASELINE_S)
-    cluster.endpoint_log.fail(LogFailure.IS_SILENT)
+    cluster.endpoint_log.fail(EndpointLogFailure.IS_SILENT)
     cluster.run(STALE_AFTER_S + NOTIFIED_AFTER_SILENCE_S)
     draining.is_draining = True
     drained_s = time.monotonic()
@@ -211,7 +213,7 @@
 def test_draining_workers_get_no_new_work_and_requests_are_rejected_with_a_retry_delay(make_cluster):
     cluster = make_cluster(bounds={**SETTINGS["bounds"], "retry_after": True, "max_retry_after": 900.0})
     cluster.run(BASELINE_S)
-    cluster.endpoint_log.fail(LogFailure.REFUSES)
+    cluster.endpoint_log.fail(EndpointLogFailure.REFUSES)
     cluster.run(STALE_AFTER_S)
     drained_s = time.monotonic()
     for worker in cluster.workers:
@@ -231,7 +233,7 @@
     cluster = make_cluster()
     [unresponsive, _] = cluster.workers
     cluster.run(BASELINE_S)
-    cluster.endpoint_log.fail(LogFailure.REFUSES)
+    cluster.endpoint_log.fail(EndpointLogFailure.REFUSES)
     cluster.run(STALE_AFTER_S)
     unresponsive.is_unresponsive = True
     unresponsive_since_s = time.monotonic()
@@ -267,7 +269,7 @@
     checks_before = sum(len(worker.health_checks) for worker in cluster.workers)
     connections_before = [len(worker.connections) for worker in cluster.workers]
 
-    cluster.endpoint_log.fail(LogFailure.REFUSES)
+    cluster.endpoint_log.fail(EndpointLogFailure.REFUSES)
     cluster.run(OUTAGE_S)
 
     assert checks_before == 0
