--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,4 +1,4 @@
-"""Soak test of the router: real processes on loopback, overlapping faults, checks of the operator's rules.
+"""Soak test of the router: real processes on loopback, overlapping faults, and checks of rules.
 
 A run has these stages:
 
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -35,11 +35,14 @@
 LogOutageOption = Annotated[
     float, typer.Option(help="Seconds that an outage of all endpoint logs lasts; 0: 4 to 12, by the seed.")
 ]
-KeepOption = Annotated[Path | None, typer.Option(help="Folder in which to keep the records and logs.")]
+KeepOption = Annotated[
+    Path | None,
+    typer.Option(help="Folder in which to keep records and logs; its seed-N of an earlier run is replaced."),
+]
 
 
 def _run(plan: Plan, folder: RunFolder, *, uses_shim: bool) -> CheckResult:
-    """Run a plan in an empty folder, and check the run."""
+    """Delete what an earlier run left in the folder, run a plan there, and check the run."""
     if folder.path.exists():
         shutil.rmtree(folder.path)
     folder.path.mkdir(parents=True)
--- a/soak/bad_clients.py
+++ b/soak/bad_clients.py
@@ -49,6 +49,7 @@
         "time out of range": _encode_request(ttl="99999999999"),
         "concurrency out of range": _encode_request(props="lanes:999999"),
         "unknown method": thrift.encode_frame(thrift.CALL, b"nothing", 1, END_OF_STRUCT),
+        # Cancellations get no answer, so an invalid request follows them, which gets one.
         "cancellations": b"".join(encode_cancel(number) for number in range(CANCEL_COUNT)) + invalid_class,
     }
 
--- a/soak/checker.py
+++ b/soak/checker.py
@@ -1,7 +1,7 @@
-"""Checks a run against the operator's rules, using the records of the clients, the proxy and the cluster.
+"""Checks a run against all rules, using the records of the clients, the proxy and the cluster.
 
-All times are of the machine's monotonic clock, which the processes share. Each rule allows the slack that the
-operator's pages grant, and `MEASUREMENT_SLACK_S` for the delay of the observers.
+All times are of the machine's monotonic clock, which the processes share. Rules on times allow a slack, which
+is a constant of the rule's module, and most add `MEASUREMENT_SLACK_S` for the delay of the observers.
 """
 
 from soak.figures import count_figures
--- a/soak/client_connections.py
+++ b/soak/client_connections.py
@@ -7,14 +7,17 @@
 
 MAX_PENDING_REQUESTS = 32  # per connection; one at the limit gets no more requests
 MAX_IDLE_S = 4.0  # from the last use of a connection until the client closes it
-REUSABLE_SHARE = 0.5  # share of extra connections that are reused; the others stay open unused
+REUSABLE_SHARE = 0.5  # share of connections opened with `is_new` that are reused; the others stay unused
 
 
 class ClientConnections:
     """Opens and reuses connections; owns all of them except private ones, which the caller closes."""
 
     def __init__(self, rng: random.Random, min_per_router: int) -> None:
-        """Open a connection for each request to a router until `min_per_router` to it are open."""
+        """Start without connections.
+
+        `acquire` opens one for each request to a router until `min_per_router` reusable ones are open to it.
+        """
         self._rng = rng
         self._min_per_router = min_per_router
         self._reusable: dict[int, list[ThriftConnection]] = {}  # by port
@@ -29,10 +32,12 @@
             port: The port of the router.
             is_new: Whether to open a connection even if an open one could be reused.
             is_private: Whether to open a connection that no other request shares.
-            may_connect: Whether a connection may be opened; if not, only an open one is returned.
+            may_connect: Whether a connection may be opened; if not, an open one with fewer than
+                `MAX_PENDING_REQUESTS` pending requests is returned.
 
         Raises:
-            OSError: The router does not accept a connection, or none is open and none may be opened.
+            OSError: The router does not accept a connection, or none may be opened and no open one can take
+                another request.
         """
         self._close_idle(port)
         reusable = self._reusable.setdefault(port, [])
--- a/soak/commands.py
+++ b/soak/commands.py
@@ -18,7 +18,7 @@
     ports: list[int]  # of the routers, by number; 0 for a router that clients avoid
     requests_per_s: float
     bad_clients_per_s: float = 0.0
-    open_only: list[int] = []  # routers to which clients use open connections, but open none
+    open_only: list[int] = []  # routers to which clients make no new connections, but use existing ones
 
 
 class ProxyCommand(Struct, frozen=True):
--- a/soak/endpoint_events.py
+++ b/soak/endpoint_events.py
@@ -1,4 +1,4 @@
-"""The endpoint events of a run, and their conversion to the JSON of the operator's endpoint log."""
+"""The endpoint events of a run, and their conversion to the JSON of the endpoint log."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
--- a/soak/endpoint_log.py
+++ b/soak/endpoint_log.py
@@ -4,9 +4,9 @@
 events, each as a line of JSON, then a heartbeat line with the sequence number of the last event, and repeats
 the heartbeat at an interval.
 
-A router normally counts as notified of an event from its publication on. After a fault of the log, it counts
-as notified no earlier than 2 s after connections broke, or 4 s after the log fell silent or moved, even if
-the fault lasts longer.
+The rules on drains and slow starts (`soak/worker_rules.py`) apply to a router from the time when it counts as
+notified of the event. This is normally the time of publication. After a fault of the log, it is no earlier
+than 2 s after connections broke, or 4 s after the log fell silent or moved, even if the fault lasts longer.
 """
 
 import asyncio
--- a/soak/errors.py
+++ b/soak/errors.py
@@ -12,4 +12,4 @@
 
 
 class ProcessStartError(SoakTestError):
-    """A process of the soak test exited before it printed the port on which it listens."""
+    """A process of the soak test exited before it printed its ports; the message names its module."""
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,7 +1,9 @@
 """The faults: a function for each kind, and a registry of their targets and mutual exclusion.
 
-Each function injects its fault, and returns when the fault is over. A lasting fault goes on for its planned
-duration. Restarts, reloads, resets and clock steps ignore that duration, and a clock step is never undone.
+Each function injects its fault, and returns when the fault is over. Most faults last for their planned
+duration. Restarts and kills of processes, replacements of workers, reloads, series of signals, resets and
+clock steps ignore that duration, and a clock step is never undone. An outage of all endpoint logs lasts for a
+multiple of it, or for the plan's `log_outage_s`.
 """
 
 import asyncio
@@ -21,7 +23,8 @@
 BAD_CLIENTS_PER_S = 20.0
 ROUTER_DOWNTIME_S = 0.3  # from the exit of a router to the start of its next process
 SIGTERM_DETECTION_S = 0.3  # from SIGTERM until clients open no more connections to the router
-KILL_DETECTION_S = 0.8  # from a kill until clients avoid the router
+# From a kill until clients avoid the router; has to be below MAX_KILL_DETECTION_S of soak/request_rules.py.
+KILL_DETECTION_S = 0.8
 SIGHUP_COUNT = 4
 MAX_SIGNAL_INTERVAL_S = 0.2
 MAX_INTENSITY_WITHOUT_ROLL = 0.5  # above this, a series of signals includes a rolling restart
@@ -223,7 +226,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterFault:
-    """A fault of individual routers. At most one exclusive fault, and any others, are active on a router."""
+    """A fault of individual routers.
+
+    A router has at most one exclusive fault at a time; any others may be active together with it.
+    """
 
     inject: Callable[[Cluster, RouterSlot, Fault], Awaitable[None]]
     is_exclusive: bool = True
@@ -245,7 +251,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointLogFault:
-    """A fault of all endpoint logs, which also replaces workers, and excludes other faults of their slots."""
+    """A fault of all endpoint logs. It also replaces workers, and excludes worker faults of their slots."""
 
     inject: Callable[[Cluster, list[WorkerSlot], Fault], Awaitable[None]]
 
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -55,7 +55,7 @@
     Attributes:
         kind: The kind of the fault.
         start_s: Seconds from the start of the traffic to the start of the fault.
-        duration_s: Duration of a fault that doesn't end by itself.
+        duration_s: Duration of the fault; `soak/faults.py` states which kinds ignore or multiply it.
         routers: Numbers of the routers that a router fault hits.
         workers: Numbers of the worker slots that a worker fault or an outage of the endpoint logs hits.
         intensity: A number from 0 to 1, which each kind of fault interprets in its own way.
--- a/soak/records.py
+++ b/soak/records.py
@@ -19,7 +19,7 @@
     THROTTLED = "throttled"  # a rejection; the client may retry later
     BROKEN = "broken"  # an error; the request may have run
     EXCEPTION = "exception"  # an application exception of Thrift
-    SURPLUS = "surplus"  # an answer of any kind to a request that was already answered
+    SURPLUS = "surplus"  # one or more answers for which no request was pending on the connection
 
 
 class RequestSent(Struct, tag=True, frozen=True):
--- a/soak/request_client.py
+++ b/soak/request_client.py
@@ -25,8 +25,9 @@
 # makes most clients abandon their requests early.
 MAX_ABANDON_ROOT = 0.5
 
-# If a connection ends this soon after a request was sent on it, the router may have closed it without reading
-# the request, so the client retries it once.
+# If a connection ends this soon after a request was sent on it, the router may have closed it as idle without
+# reading the request, so the client retries the request once. It does so only if no other request was pending
+# on the connection, as a connection with pending requests is not idle for the router.
 CLOSE_RACE_S = 0.05
 
 ANSWER_GRACE_S = 1.0  # how long clients wait for an answer after the timeout or a cancellation
@@ -212,7 +213,10 @@
             await asyncio.wait([sent.answer], timeout=ANSWER_GRACE_S)
 
     def _record_surplus(self, sent: SentRequest) -> None:
-        """Attribute a connection's surplus answers, which identify no request, to this request."""
+        """Record the connection's surplus answers, if any, as one record of this request.
+
+        A surplus answer has a sequence number without a pending request, so its own request is unknown.
+        """
         if sent.connection.surplus_answers:
             request_id = sent.request.request_id
             self._recorder.add(RequestAnswered(request_id, time.monotonic(), AnswerKind.SURPLUS))
--- a/soak/router_config.py
+++ b/soak/router_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of a router, with the keys that the operator's pages define."""
+"""The configuration file of a router, with the keys that `function_router.config.schema` defines."""
 
 from dataclasses import dataclass, field
 from typing import Any
--- a/soak/router_slot.py
+++ b/soak/router_slot.py
@@ -102,7 +102,11 @@
         await self._record_exit(EXIT_TIMEOUT_S)
 
     async def terminate(self) -> None:
-        """Send SIGTERM, then SIGKILL if the process outlives the longest request timeout plus a margin."""
+        """Send SIGTERM, then SIGKILL to a process that does not exit in time.
+
+        The process has the time of the longest request timeout, limited to MAX_TIMEOUT_BEFORE_KILL_S, plus
+        KILL_GRACE_S.
+        """
         self.incarnation.sigterm_at = time.monotonic()
         self._send_signal(signal.SIGTERM)
         if not await self._record_exit(
--- a/soak/rules.py
+++ b/soak/rules.py
@@ -1,4 +1,4 @@
-"""The operator's rules, and the violations that the checker finds."""
+"""The rules that a run has to keep, and the violations that the checker finds."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
--- a/soak/shim.c
+++ b/soak/shim.c
@@ -1,6 +1,8 @@
 /* A library for LD_PRELOAD that injects faults into a router process: system calls fail as their man pages
  * document, and the wall clock steps. The soak test selects the faults in a control file, which it may
- * rewrite while the process runs. Each wrapper calls the C library's function, or fails without a call. */
+ * rewrite while the process runs. Each wrapper calls the C library's function, or fails without a call. Some
+ * wrappers shorten the buffer of the call or change its result. A wrapper that injects a broken connection
+ * shuts the connection down, and then fails. */
 
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -23,7 +25,7 @@
 #define CONFIGURATION_FILE "config.json" /* the end of the path of a router's configuration file */
 
 /* The content of the control file: a step of the wall clock, and the shares of calls that fail, from 0 to 1.
- * soak/shim.py writes the same fields in the same order. */
+ * soak/shim.py writes the same fields in the same order. The offsets are truncated to whole seconds. */
 struct control {
     double offset_before_s;    /* offset of the wall clock before the step */
     double offset_after_s;     /* offset of the wall clock from the step on */
@@ -54,6 +56,8 @@
     close(fd);
     if (mapped != MAP_FAILED)
         control = mapped;
+    /* The odd constant, 2^64 divided by the golden ratio, spreads the process ids over all bits. A process id
+     * plus 1 is never 0, so the state isn't either; a xorshift generator with the state 0 returns only 0. */
     random_state = 0x9E3779B97F4A7C15ULL * (uint64_t)(getpid() + 1);
 }
 
@@ -67,7 +71,7 @@
 
 /* Decide at random whether a call belongs to the given share of calls. */
 static int is_sampled(double share) {
-    return share > 0 && (double)(next_random() >> 11) / 9007199254740992.0 < share; /* 2 to the 53rd */
+    return share > 0 && (double)(next_random() >> 11) / 9007199254740992.0 < share; /* 2^53 */
 }
 
 /* Whether to inject the fault of a field of `struct control` into this call. */
@@ -231,7 +235,8 @@
     return real(fd, &transfer.message, flags);
 }
 
-/* recv(2) fails as `inject_transfer_failure` decides. The router peeks with it, and reads its signals. */
+/* recv(2) fails as `inject_transfer_failure` decides. The router calls it to peek at connections, and
+ * to read its wakeup socket. */
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
     REAL(recv);
     if (inject_transfer_failure(fd) < 0)
--- a/soak/site.py
+++ b/soak/site.py
@@ -1,7 +1,7 @@
 """Parameters of the simulated site: request classes, workers and limits.
 
-The routers' configuration contains these parameters, workers behave accordingly, and the checker verifies
-that routers respect them.
+Some of these parameters are in the routers' configuration, others determine how the simulated workers behave.
+The checker verifies that routers respect the limits among them.
 """
 
 from function_router.decisions.types import RetrySafety
@@ -19,7 +19,7 @@
 TENANTS = ("north", "south")
 
 WORKER_CONCURRENCY = 2  # concurrent requests per instance
-WORKER_CORES = 2
+WORKER_CORES = 2  # only for the nominal capacity; the simulated workers have no limit on cores
 MEAN_RUN_TIME_S = 0.04  # mean time that a request runs
 COLD_START_S = 0.25  # mean duration of a cold start
 WORKER_CAPACITY_RPS = WORKER_CORES / MEAN_RUN_TIME_S
--- a/soak/thrift_client.py
+++ b/soak/thrift_client.py
@@ -116,7 +116,7 @@
 
 
 async def is_router_ready(port: int) -> bool:
-    """Return whether a router on loopback answers a status request; the flag in the answer is ignored."""
+    """Return whether a router on loopback answers a status request, whatever status it reports."""
     try:
         connection = await ThriftConnection.open(port)
     except OSError:
--- a/soak/traffic.py
+++ b/soak/traffic.py
@@ -36,7 +36,7 @@
         await self._set_port(router, port)
 
     async def stop_connecting_to(self, router: int) -> None:
-        """Open no more connections to a router, but keep using open ones."""
+        """Make no new connections to a router, but keep using existing ones."""
         await self._change(open_only=[*self._command.open_only, router])
 
     async def avoid_router(self, router: int) -> None:
--- a/soak/worker_rules.py
+++ b/soak/worker_rules.py
@@ -19,7 +19,7 @@
 
 # Allowance for sampling noise above the budget of a worker in slow start: a number of standard deviations,
 # plus the same number of requests. A small budget gets a wider margin.
-SMALL_BUDGET = 30.0
+SMALL_BUDGET = 30.0  # requests in a window; a budget below this is small
 SMALL_BUDGET_DEVIATIONS = 3
 LARGE_BUDGET_DEVIATIONS = 2
 
--- a/tests/soak_test/test_faults.py
+++ b/tests/soak_test/test_faults.py
@@ -67,6 +67,7 @@
         tasks = []
         for fault in faults:
             tasks.append(asyncio.create_task(injector.inject(fault)))
+            # The first pause runs the injector, which starts a task for each target; the second runs these.
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         recorded.release.set()
--- a/tests/soak_test/test_module_process.py
+++ b/tests/soak_test/test_module_process.py
@@ -42,6 +42,7 @@
     async def start_and_finish():
         process = await ModuleProcess.start("soak.clients", "1", "1", str(tmp_path / "clients.jsonl"))
         try:
+            # `finish` kills the process after its timeout, so an exit in half of that is the process's own.
             await asyncio.wait_for(process.finish(FINISH_TIMEOUT_S), FINISH_TIMEOUT_S / 2)
         finally:
             await process.clean_up()
--- a/tests/soak_test/test_plan.py
+++ b/tests/soak_test/test_plan.py
@@ -11,7 +11,7 @@
 WORKERS = 7
 RECORDED_SEEDS = range(1, 51)
 
-# The digest of the plans that are drawn for the recorded seeds from all kinds, including signal-series.
+# The digest of the plans that are drawn for the recorded seeds from all kinds of faults.
 RECORDED_DIGEST = "4b4b080d1506a3e91300527cbc09fd47c4fb182f7bba636e5e9402091a91a888"
 
 
--- a/tests/soak_test/test_shim.py
+++ b/tests/soak_test/test_shim.py
@@ -68,6 +68,8 @@
     client = socket.create_connection(listener.getsockname())
     return listener, client, listener.accept()[0]
 """
+# "send" and "receive" print True for a short transfer, and False for a whole one; 512 is MAX_SHORT_BYTES of
+# shim.c.
 PROGRAMS = {
     "socket": "print(outcome(lambda: socket.socket().family.name))",
     "unix socket": "print(outcome(lambda: socket.socket(socket.AF_UNIX).family.name))",
--- a/tests/soak_test/test_traffic.py
+++ b/tests/soak_test/test_traffic.py
@@ -46,7 +46,7 @@
         (lambda traffic: traffic.set_bad_client_rate(5.0), ClientsCommand([1, 2], 50.0, 5.0)),
         (lambda traffic: traffic.stop(), ClientsCommand([1, 2], 0.0)),
     ],
-    ids=["avoid a router", "open no connections", "use a router", "request rate", "bad clients", "stop"],
+    ids=["avoid a router", "stop connecting", "use a router", "request rate", "bad clients", "stop"],
 )
 def test_change_leaves_all_else_as_it_was(command_after, change, command):
     assert command_after(change) == command
