--- a/function_router/config/conversion.py
+++ b/function_router/config/conversion.py
@@ -1,4 +1,4 @@
-"""Converts sections of the configuration, which have the operator's names, to the program's settings."""
+"""Converts sections of the configuration, with the operator's key names, to the program's settings."""
 
 from function_router.config.schema import (
     FIXED_WEIGHT_SOURCES,
@@ -29,7 +29,7 @@
         can_hedge=bounds.second_copies,
         max_attempts=bounds.max_attempts,
         max_retry_after_ms=_max_retry_after_ms(bounds),
-        keep_alive_ms=family.idle_life,
+        instance_keep_alive_ms=family.idle_life,
         starts_on_request=family.not_loaded == START_ON_REQUEST,
         start_order_window_ms=family.load_window,
         start_order_burst=family.free_loads,
@@ -48,12 +48,12 @@
     family = section.family_info
     return TransportSettings(
         connect_timeout_ms=bounds.dial_timeout,
-        keepalive_ms=bounds.keepalive,
+        connection_keepalive_ms=bounds.keepalive,
         max_exchanges_per_connection=bounds.streams_per_conn,
         max_pending_requests=bounds.max_open,
         max_retry_after_ms=_max_retry_after_ms(bounds),
         start_order_timeout_ms=family.load_wait,
-        reports_in_flight=family.notes_peers_in_hand,
+        workers_report_in_flight=family.notes_peers_in_hand,
         may_preconnect=section.costs.handshake == 0,
         tenants=frozenset(tenant.name for tenant in section.tenants),
     )
--- a/function_router/decisions/circuit_breakers.py
+++ b/function_router/decisions/circuit_breakers.py
@@ -24,15 +24,16 @@
     def is_open(self, worker: Worker, class_name: str, now_ms: float) -> bool:
         """Return whether requests of a class must not go to a worker.
 
-        If the breakers of most workers are open, none has an effect, as in Envoy's panic mode.
+        If most ready workers have a breaker of the class with open time left, none has an effect, as in
+        Envoy's panic mode. This includes breakers that successes have closed before the end of that time.
         """
         breaker = worker.breakers.get(class_name)
         if breaker is None or not breaker.is_open(now_ms):
             return False
         ready = self._workers.ready
         breakers = (other.breakers[class_name] for other in ready if class_name in other.breakers)
-        open_count = sum(other.has_open_time_left(now_ms) for other in breakers)
-        return open_count * 2 <= len(ready)
+        open_time_left_count = sum(other.has_open_time_left(now_ms) for other in breakers)
+        return open_time_left_count * 2 <= len(ready)
 
     def is_tripped(self, worker: Worker, class_name: str) -> bool:
         """Return whether the breaker of a class at a worker is tripped, that is, open or half-open."""
--- a/function_router/decisions/feedback.py
+++ b/function_router/decisions/feedback.py
@@ -70,7 +70,7 @@
     def _record_in_flight(self, attempt: Attempt, in_flight: int) -> None:
         """Estimate a function's requests in flight at all workers from the number at one worker."""
         function = attempt.function
-        at_all_workers = in_flight * attempt.candidate_count
+        at_all_workers = in_flight * attempt.preferred_pool_count
         function.estimated_in_flight += IN_FLIGHT_GAIN * (at_all_workers - function.estimated_in_flight)
 
     def record_report(
@@ -78,8 +78,8 @@
     ) -> bool:
         """Update the estimates at the end of a start order or probe.
 
-        If an unresponsive worker replies and has lost its instances, it must have restarted, even if the
-        endpoint log has not announced that yet.
+        If an unresponsive worker replies and has lost its instances, it is assumed to have restarted, even if
+        the endpoint log has not announced that yet.
 
         Returns:
             Whether the worker has just become unresponsive.
--- a/function_router/decisions/start_order_limits.py
+++ b/function_router/decisions/start_order_limits.py
@@ -28,7 +28,8 @@
             maximum=MAX_PENDING_ORDERS,
             decrease=PENDING_ORDERS_DECREASE,
         )
-        self.sent = SlidingWindow()  # when start orders count: at the decision, or at a late send
+        # The time at which each start order counts: its decision, or its send if that was late.
+        self.counted = SlidingWindow()
 
     def allows_order(self, now_ms: float) -> bool:
         """Return whether one more start order may be sent now."""
@@ -39,18 +40,18 @@
         """Return whether one more start order, sent now, would exceed the rate limit."""
         settings = self._settings
         window_ms = settings.start_order_window_ms
-        # An order counts from its decision, but may be sent up to the maximum delay later, so it is kept for
-        # that much longer.
-        self.sent.remove_before(now_ms - window_ms - settings.tick_ms - MAX_START_ORDER_DELAY_MS)
+        # An order counts from its decision, but may be sent up to `MAX_START_ORDER_DELAY_MS` later, so it is
+        # kept for that much longer, and for one tick more.
+        self.counted.remove_before(now_ms - window_ms - settings.tick_ms - MAX_START_ORDER_DELAY_MS)
         self._arrivals.drop_old(now_ms)
         requests = len(self._arrivals.recent)
         allowed = settings.start_order_burst + settings.start_orders_per_request * requests
-        return window_ms > 0 and len(self.sent) + 1 > allowed
+        return window_ms > 0 and len(self.counted) + 1 > allowed
 
     def record_order(self, now_ms: float) -> None:
         """Count a start order that is sent now."""
         self._pending += 1
-        self.sent.add(now_ms)
+        self.counted.add(now_ms)
 
     def record_end(self) -> None:
         """Count a start order as no longer pending."""
@@ -60,8 +61,8 @@
         """Check an order again if it is sent long after its decision; see `Router.revalidate_start_order`."""
         if now_ms - counted_ms <= MAX_START_ORDER_DELAY_MS:
             return counted_ms
-        self.sent.discard(counted_ms)
+        self.counted.discard(counted_ms)
         if self._is_rate_limited(now_ms):
             return None
-        self.sent.add(now_ms)
+        self.counted.add(now_ms)
         return now_ms
--- a/function_router/net/acceptor.py
+++ b/function_router/net/acceptor.py
@@ -33,10 +33,11 @@
 class AcceptorOwner(Protocol):
     """Serves the accepted sockets."""
 
-    def ensure_capacity(self, reserved: int, /) -> bool:
-        """Return whether another connection may be accepted in addition to `reserved` accepted ones.
+    def ensure_capacity(self, deferred_count: int, /) -> bool:
+        """Return whether another connection may be accepted.
 
-        At the connection limit, idle connections are closed to free capacity.
+        It is in addition to the `deferred_count` accepted sockets that are not served yet. At the connection
+        limit, idle connections are closed to free capacity.
         """
 
     def serve(self, accepted: AcceptedSocket, /) -> None:
@@ -66,7 +67,8 @@
         """Listen on an address; for port 0 the kernel chooses a port.
 
         The owner serves at most `max_connections` at once. One turn accepts at most half as many, so that the
-        first requests of the accepted clients are read before the next clients compete for their capacity.
+        router can read the first requests of the accepted clients before idle connections are closed to free
+        capacity for further clients.
 
         Raises:
             OSError: The router cannot listen on the address.
@@ -145,7 +147,7 @@
             self._telemetry.log(f"cannot watch listening socket: {error}")
             self._loop.timers.call_later(ACCEPT_PAUSE_MS, self._resume)
             return
-        self._unread_since.on_watch_resumed()
+        self._unread_since.on_watch_changed()
         self.is_paused = False
         deferred = self._deferred_sockets
         self._deferred_sockets = []
--- a/function_router/net/attempts_in_flight.py
+++ b/function_router/net/attempts_in_flight.py
@@ -69,7 +69,7 @@
     def cancel_unsent(self, request: PendingRequest) -> None:
         """Cancel the attempts of a finished request of which no byte has been sent yet.
 
-        The decision module may not cancel them, as the settings can forbid it to cancel attempts.
+        The decision module does not do this if the settings forbid it to cancel attempts.
         """
         for attempt in self._attempts_of(request):
             self._pool.cancel_if_unsent(attempt)
@@ -108,7 +108,7 @@
         """Record and report the result of an attempt; the first successful one answers the request."""
         del self.by_key[key, number]
         report = AttemptReport.from_result(
-            attempt, result, reports_in_flight=self._transport.reports_in_flight
+            attempt, result, workers_report_in_flight=self._transport.workers_report_in_flight
         )
         if request := self._requests.by_key.get(key):
             _record_ended_attempt(request, attempt, report)
--- a/function_router/net/pooled_worker.py
+++ b/function_router/net/pooled_worker.py
@@ -34,7 +34,7 @@
         "_connect_retry",
         "_on_unused",
         "_resources",
-        "_started_at_ms",
+        "_started_at_unix_ms",
         "address",
         "connections",
         "queue",
@@ -47,7 +47,7 @@
         worker_id: int,
         address: Address,
         state: WorkerState,
-        started_at_ms: float,
+        started_at_unix_ms: float,
         resources: PoolResources,
         on_unused: Callable[[int], None],
     ) -> None:
@@ -57,7 +57,7 @@
             worker_id: The id of the worker.
             address: The address on which the worker listens.
             state: The state of the worker in the endpoint list.
-            started_at_ms: When the worker's process started, in Unix time; 0 if unknown.
+            started_at_unix_ms: When the worker's process started, in Unix time; 0 if unknown.
             resources: The resources that the workers of the pool share.
             on_unused: Called with the id once the worker is removed and has no connection and no exchange.
         """
@@ -66,27 +66,27 @@
         self.state = state
         self.connections = ConnectionSet(resources)
         self.queue = ExchangeQueue()
-        self._started_at_ms = started_at_ms
+        self._started_at_unix_ms = started_at_unix_ms
         self._resources = resources
         self._on_unused = on_unused
         self._connect_retry = ConnectRetry(resources.loop.timers)
 
     # --- endpoint -----------------------------------------------------------------------------
 
-    def update(self, address: Address | None, state: WorkerState, started_at_ms: float) -> None:
+    def update(self, address: Address | None, state: WorkerState, started_at_unix_ms: float) -> None:
         """Apply a new record of the worker in the endpoint list.
 
         Args:
             address: The address on which the worker listens; None leaves it unchanged.
             state: The state of the worker.
-            started_at_ms: When the worker's process started, in Unix time; 0 if unknown.
+            started_at_unix_ms: When the worker's process started, in Unix time; 0 if unknown.
         """
-        is_replaced = self._is_replaced_by(address, started_at_ms)
+        is_replaced = self._is_replaced_by(address, started_at_unix_ms)
         if is_replaced:
             self.connections.retire_all()
         self.address = address or self.address
         self.state = state
-        self._started_at_ms = max(started_at_ms, self._started_at_ms)
+        self._started_at_unix_ms = max(started_at_unix_ms, self._started_at_unix_ms)
         if state is not WorkerState.READY:
             self._abort_unsendable()
         if is_replaced and self.queue:  # connects in progress lead to the earlier process
@@ -95,10 +95,10 @@
             self.connections.retire_all()
             self._report_if_unused()
 
-    def _is_replaced_by(self, address: Address | None, started_at_ms: float) -> bool:
+    def _is_replaced_by(self, address: Address | None, started_at_unix_ms: float) -> bool:
         """Return whether an endpoint record shows a new process, by a new address or a later start."""
         has_moved = address is not None and address != self.address
-        return has_moved or started_at_ms > self._started_at_ms
+        return has_moved or started_at_unix_ms > self._started_at_unix_ms
 
     def _abort_unsendable(self) -> None:
         """Abort the unwritten exchanges that the worker's state does not allow any more."""
@@ -121,9 +121,9 @@
         if not_sent_reason := check_worker(exchange, self.state):
             exchange.finish_unsent(not_sent_reason, telemetry)
             return
-        latest_connection_ms = self._latest_connection_ms(exchange)
-        connection = self.connections.choose(exchange, latest_connection_ms)
-        if connection is None and latest_connection_ms < math.inf:
+        connection_cutoff_ms = self._connection_cutoff_ms(exchange)
+        connection = self.connections.choose(exchange, connection_cutoff_ms)
+        if connection is None and connection_cutoff_ms < math.inf:
             exchange.finish_unsent(NotSentReason.READINESS_UNPROVEN, telemetry)
         elif connection is None:
             self.queue.append(exchange)
@@ -133,20 +133,21 @@
         else:
             self._assign(exchange, connection)
 
-    def _latest_connection_ms(self, exchange: Exchange) -> float:
-        """Return the latest time at which a connection that may carry the exchange was established.
+    def _connection_cutoff_ms(self, exchange: Exchange) -> float:
+        """Return the time by which a connection must have been established to carry the exchange.
 
-        The time is infinite if any connection may carry the exchange.
+        The time is infinite if any connection may carry the exchange, and negative infinite if none may.
         """
         if not exchange.is_new_work:
             return math.inf
-        return self._resources.readiness.latest_connection_ms(self.worker_id)
+        return self._resources.readiness.connection_cutoff_ms(self.worker_id)
 
     def _assign(self, exchange: Exchange, connection: WorkerConnection) -> None:
-        """Assign an exchange to a connection, and open a spare connection for the next exchange if needed.
+        """Assign an exchange to a connection, and open a spare connection if the next exchange may need it.
 
-        A spare connection is needed if this connection already carried an attempt, or if the settings allow
-        connections to be opened in advance. A health check needs none, as workers answer it at once.
+        A spare connection is considered if an attempt is already in flight on the connection, or if the
+        settings allow connections to be opened in advance. A health check requires no spare connection, as
+        workers answer it at once.
         """
         is_shared = connection.has_attempt_in_flight
         connection.assign(exchange)
--- a/function_router/net/unread_since.py
+++ b/function_router/net/unread_since.py
@@ -2,7 +2,8 @@
 
 from function_router.net.event_loop import EventLoop
 
-# A socket that every poll has reported as readable for longer than this is read until it is empty.
+# A socket that every poll has reported as readable for longer than this is read until it is empty: only an
+# empty read proves that bytes read later are new.
 MAX_READABLE_INTERVAL_MS = 50.0
 
 
@@ -16,7 +17,7 @@
     __slots__ = ("_last_reported_poll", "_loop", "_since_ms")
 
     def __init__(self, loop: EventLoop, since_ms: float) -> None:
-        """Start with a socket that had no unread data at `since_ms`, on the monotonic clock."""
+        """Start with a socket whose unread bytes arrived at `since_ms` (monotonic) or later."""
         self._loop = loop
         self._last_reported_poll = loop.poll_count
         self._since_ms = since_ms
@@ -27,7 +28,7 @@
         return self._since_ms
 
     @property
-    def max_wait_ms(self) -> float:
+    def max_receive_delay_ms(self) -> float:
         """The longest time for which the unread bytes can have waited when this turn began."""
         return max(0.0, self._loop.turn_started_ms - self._since_ms)
 
@@ -41,8 +42,11 @@
         """Record that a read found nothing."""
         self._since_ms = self._loop.turn_started_ms
 
-    def on_watch_resumed(self) -> None:
-        """Record that the socket was not watched for a while, so that the polls so far prove nothing."""
+    def on_watch_changed(self) -> None:
+        """Record that the event loop starts or stops watching the socket.
+
+        The polls so far then prove nothing about its data.
+        """
         self._last_reported_poll = self._loop.poll_count
 
     def should_read_until_empty(self) -> bool:
@@ -50,4 +54,4 @@
 
         This is the case once every poll has reported the socket for longer than MAX_READABLE_INTERVAL_MS.
         """
-        return self.max_wait_ms > MAX_READABLE_INTERVAL_MS
+        return self.max_receive_delay_ms > MAX_READABLE_INTERVAL_MS
--- a/function_router/net/worker_connection.py
+++ b/function_router/net/worker_connection.py
@@ -192,7 +192,7 @@
         self._unwritten_at_flush.append(exchange)
 
     def remove(self, exchange: Exchange) -> None:
-        """Remove an exchange without an answer; cancel an attempt that the worker may have received."""
+        """Remove an exchange without an answer; if it is a started attempt, notify the worker."""
         self.exchanges.pop(exchange.exchange_id, None)
         pending_write = exchange.pending_write
         if pending_write is not None and self.connection.cancel_write(pending_write):
@@ -286,7 +286,7 @@
 
     def on_write_delayed(self) -> None:
         """Finish unwritten exchanges that may not be sent any more; update the timeouts of the others."""
-        latest_ms = self._readiness.latest_connection_ms(self._owner.worker_id)
+        latest_ms = self._readiness.connection_cutoff_ms(self._owner.worker_id)
         for exchange in self.unwritten():
             not_sent_reason = check_exchange(exchange, self._owner.state) or check_readiness(
                 exchange, self.established_at_ms, latest_ms
--- a/function_router/net/worker_pool.py
+++ b/function_router/net/worker_pool.py
@@ -20,7 +20,7 @@
 
 EXCHANGE_ID_BYTES = 8
 # Size of the first id of start orders and health checks. The id is random, so that routers don't use the same
-# ids.
+# ids. It leaves two bits of EXCHANGE_ID_BYTES free, so that the ids that follow it fit, too.
 FIRST_EXCHANGE_ID_BITS = 62
 # Timeout of a health check. Workers answer health checks at once, whatever functions they run.
 HEALTH_CHECK_TIMEOUT_MS = 1_000.0
@@ -51,7 +51,7 @@
             transport: Timeouts and limits of the transport.
             max_connections: The maximum number of connections to all workers together.
             seed: The seed of the first id of start orders and health checks.
-            telemetry: Counts sent exchanges and closed connections, and logs protocol errors of workers.
+            telemetry: Counts dispatched exchanges and closed connections; logs protocol errors of workers.
             readiness: Decides which workers may get new work; None allows it to all workers.
         """
         self.workers: dict[int, PooledWorker] = {}
@@ -60,7 +60,7 @@
             transport=transport,
             telemetry=telemetry,
             budget=ConnectionBudget(max_connections, self._all_connections),
-            idle_limit=IdleLimit(transport.keepalive_ms),
+            idle_limit=IdleLimit(transport.connection_keepalive_ms),
             readiness=ReadinessAdapter(loop.clock, readiness or AlwaysReady()),
         )
         self._exchange_ids = itertools.count(random.Random(seed).getrandbits(FIRST_EXCHANGE_ID_BITS))
@@ -68,7 +68,7 @@
     # --- endpoints ----------------------------------------------------------------------------
 
     def update_endpoint(
-        self, worker_id: int, address: Address | None, state: WorkerState, started_at_ms: float
+        self, worker_id: int, address: Address | None, state: WorkerState, started_at_unix_ms: float
     ) -> None:
         """Apply a record of the endpoint list, and add the worker if it is new.
 
@@ -76,14 +76,14 @@
             worker_id: The id of the worker.
             address: The address on which the worker listens; None leaves it unchanged.
             state: The state of the worker.
-            started_at_ms: When the worker's process started, in Unix time; 0 if unknown.
+            started_at_unix_ms: When the worker's process started, in Unix time; 0 if unknown.
         """
         worker = self.workers.get(worker_id)
         if worker is not None:
-            worker.update(address, state, started_at_ms)
+            worker.update(address, state, started_at_unix_ms)
         elif address is not None and state is not WorkerState.REMOVED:
             self.workers[worker_id] = PooledWorker(
-                worker_id, address, state, started_at_ms, self._resources, on_unused=self._remove_worker
+                worker_id, address, state, started_at_unix_ms, self._resources, on_unused=self._remove_worker
             )
 
     def workers_at(self, address: Address) -> list[int]:
@@ -95,7 +95,7 @@
         ]
 
     def connection_lost_at_ms(self, worker_id: int) -> float | None:
-        """Return when a connection to a worker was last lost, on the monotonic clock; None if none was."""
+        """Return `ConnectionSet.last_lost_ms` of a worker; None if the pool does not have the worker."""
         worker = self.workers.get(worker_id)
         return None if worker is None else worker.connections.last_lost_ms
 
@@ -135,7 +135,10 @@
         return next(self._exchange_ids).to_bytes(EXCHANGE_ID_BYTES, "big")
 
     def cancel(self, exchange: Exchange) -> None:
-        """Cancel an exchange unless it is done; also cancel an attempt that the worker may have received."""
+        """Cancel an exchange unless it is done.
+
+        If the exchange is an attempt that the worker may have received, the worker is notified.
+        """
         exchange.abort(CloseReason.CANCELLED)
 
     def cancel_if_unsent(self, exchange: Exchange) -> None:
--- a/function_router/simulator_adapter.py
+++ b/function_router/simulator_adapter.py
@@ -1,8 +1,9 @@
-"""Runs the decision module for simulated routers; the simulator uses standard input and standard output.
+"""Runs the decision module for simulated routers, over standard input and standard output.
 
-Run as ``python -m function_router.simulator_adapter``. Each line of standard input is a batch of messages in
-JSON. The adapter answers each batch with one line of JSON on standard output.
-`function_router.simulator_codec` converts the messages in batches and replies.
+Run as ``python -m function_router.simulator_adapter``. Each line of standard input is a batch: the time, and
+the messages for each router. The adapter answers a batch with a reply, one line of standard output with the
+messages of each router. Batches and replies are JSON; `function_router.simulator_codec` decodes and encodes
+their messages.
 """
 
 import gc
@@ -16,21 +17,21 @@
 from function_router.decisions.router import Router
 from function_router.errors import FunctionRouterError
 from function_router.simulator_codec import (
-    EVENT_READERS,
+    EVENT_DECODERS,
     ROUTER_KILLED,
     ROUTER_STARTED,
     SEED,
     SETTINGS,
     JsonObject,
-    write_action,
-    write_exception,
+    encode_action,
+    encode_exception,
 )
 
-# Fields of a batch and of its reply; a reply has only ROUTER_BATCHES.
+# Fields of a batch. A reply has only ROUTER_BATCHES.
 BATCH_TIME = "wall"
 ROUTER_BATCHES = "ends"
 
-# Fields of an element of ROUTER_BATCHES.
+# Fields of an element of ROUTER_BATCHES: MESSAGES in a batch, REPLY_MESSAGES in a reply, ROUTER_ID in both.
 ROUTER_ID = "who"
 MESSAGES = "inbox"
 REPLY_MESSAGES = "steps"
@@ -41,7 +42,7 @@
 EXIT_OK = 0
 EXIT_INVALID_BATCH = 2
 
-# Event readers raise these if the body of a message lacks a field or has a field of the wrong type.
+# Exceptions raised if the body of a message lacks a field, or has one with a wrong type or an invalid value.
 INVALID_BODY_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 
 
@@ -67,49 +68,52 @@
         """
         batch = _decode_batch(line)
         now_ms = batch[BATCH_TIME]
-        replies = []
+        router_replies = []
         for router_batch in batch[ROUTER_BATCHES]:
             _check_router_batch(router_batch)
             router_id = router_batch[ROUTER_ID]
-            messages = self._answer_router(router_id, now_ms, router_batch[MESSAGES])
+            messages = self._handle_messages(router_id, now_ms, router_batch[MESSAGES])
             if messages:
-                replies.append({ROUTER_ID: router_id, REPLY_MESSAGES: messages})
-        return json.dumps({ROUTER_BATCHES: replies}, separators=COMPACT_SEPARATORS)
+                router_replies.append({ROUTER_ID: router_id, REPLY_MESSAGES: messages})
+        return json.dumps({ROUTER_BATCHES: router_replies}, separators=COMPACT_SEPARATORS)
 
-    def _answer_router(self, router_id: int, now_ms: float, messages: list[Any]) -> list[JsonObject]:
-        """Process the messages of one router and return its replies.
+    def _handle_messages(self, router_id: int, now_ms: float, messages: list[Any]) -> list[JsonObject]:
+        """Process the messages for one router, and return the messages of its reply.
 
-        The router handles its events as one batch. If it is restarted in between, the events before and after
-        the restart are separate batches.
+        The router gets all events in one call. If a message starts or kills the router, the events before
+        this message are passed to the old router, and those after it to the new one.
         """
-        replies: list[JsonObject] = []
+        reply_messages: list[JsonObject] = []
         events: list[Event] = []
         for message in messages:
             name, body = _split_message(message)
             if name in (ROUTER_STARTED, ROUTER_KILLED):
-                replies += self._handle(router_id, now_ms, events)
+                reply_messages += self._handle(router_id, now_ms, events)
                 events = []
                 self.routers.pop(router_id, None)
             try:
                 if name == ROUTER_STARTED:
                     settings = parse_settings(body.get(SETTINGS) or {})
                     self.routers[router_id] = Router(settings, body[SEED])
-                elif name in EVENT_READERS and (event := EVENT_READERS[name](body)) is not None:
+                elif name in EVENT_DECODERS and (event := EVENT_DECODERS[name](body)) is not None:
                     events.append(event)
             except INVALID_BODY_ERRORS as error:
                 problem = f"{name}: {type(error).__name__}: {error}"
                 raise InvalidBatchError(problem) from None
-        return replies + self._handle(router_id, now_ms, events)
+        return reply_messages + self._handle(router_id, now_ms, events)
 
     def _handle(self, router_id: int, now_ms: float, events: list[Event]) -> list[JsonObject]:
-        """Pass events to a router, and return its actions, or the exception that it raises, as messages."""
+        """Pass events to a router, and return its actions, or the exception that it raises, as messages.
+
+        Events for a router that is not running are ignored.
+        """
         if not events or router_id not in self.routers:
             return []
         try:
             actions = self.routers[router_id].handle(now_ms, events)
         except Exception as error:  # noqa: BLE001 (a message reports any exception to the simulator)
-            return [write_exception(_describe_exception(error))]
-        return [write_action(action) for action in actions]
+            return [encode_exception(_describe_exception(error))]
+        return [encode_action(action) for action in actions]
 
 
 def _decode_batch(line: str) -> JsonObject:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,7 +1,9 @@
 """The faults: a function for each kind, and a registry of their targets and mutual exclusion.
 
-Each function injects its fault, and returns when the fault is over. A lasting fault goes on for its planned
-duration. Restarts, reloads, resets and clock steps ignore that duration, and a clock step is never undone.
+Each function injects its fault, and returns when the fault is over. Most faults last for their planned
+duration. Restarts and kills of processes, replacements of workers, reloads, series of signals, resets and
+clock steps ignore that duration, and a clock step is never undone. An outage of all endpoint logs lasts for a
+multiple of it, or for the plan's `log_outage_s`.
 """
 
 import asyncio
@@ -11,7 +13,7 @@
 from typing import Final
 
 from soak.cluster import Cluster
-from soak.log_outage import inject_log_outage
+from soak.log_outage import inject_endpoint_log_outage
 from soak.plan import Fault, FaultKind
 from soak.router_slot import RouterSlot
 from soak.worker_changes import drain_and_replace, publish_ready
@@ -21,7 +23,8 @@
 BAD_CLIENTS_PER_S = 20.0
 ROUTER_DOWNTIME_S = 0.3  # from the exit of a router to the start of its next process
 SIGTERM_DETECTION_S = 0.3  # from SIGTERM until clients open no more connections to the router
-KILL_DETECTION_S = 0.8  # from a kill until clients avoid the router
+# From a kill until clients avoid the router; has to be below MAX_KILL_DETECTION_S of soak/request_rules.py.
+KILL_DETECTION_S = 0.8
 SIGHUP_COUNT = 4
 MAX_SIGNAL_INTERVAL_S = 0.2
 MAX_INTENSITY_WITHOUT_ROLL = 0.5  # above this, a series of signals includes a rolling restart
@@ -61,7 +64,7 @@
     """
     ending = asyncio.create_task(router.terminate())
     await asyncio.sleep(SIGTERM_DETECTION_S)
-    await cluster.traffic.open_no_connections(router.number)
+    await cluster.traffic.stop_connecting_to(router.number)
     await ending
     await cluster.traffic.avoid_router(router.number)
     await _restart_router(cluster, router)
@@ -223,7 +226,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterFault:
-    """A fault of individual routers. At most one exclusive fault, and any others, are active on a router."""
+    """A fault of individual routers.
+
+    A router has at most one exclusive fault at a time; any others may be active together with it.
+    """
 
     inject: Callable[[Cluster, RouterSlot, Fault], Awaitable[None]]
     is_exclusive: bool = True
@@ -244,13 +250,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogFault:
-    """A fault of all endpoint logs, which also replaces workers, and excludes other faults of their slots."""
+class EndpointLogFault:
+    """A fault of all endpoint logs. It also replaces workers, and excludes worker faults of their slots."""
 
     inject: Callable[[Cluster, list[WorkerSlot], Fault], Awaitable[None]]
 
 
-FAULTS: Final[dict[FaultKind, RouterFault | WorkerFault | ClientFault | LogFault]] = {
+FAULTS: Final[dict[FaultKind, RouterFault | WorkerFault | ClientFault | EndpointLogFault]] = {
     FaultKind.ROUTER_ROLL: RouterFault(roll_router),
     FaultKind.ROUTER_KILL: RouterFault(kill_router),
     FaultKind.ROUTER_PAUSE: RouterFault(pause_router),
@@ -268,6 +274,6 @@
     FaultKind.WORKER_REFUSES: WorkerFault(refuse_connections),
     FaultKind.BURST: ClientFault(raise_request_rate),
     FaultKind.BAD_CLIENTS: ClientFault(add_bad_clients),
-    FaultKind.ENDPOINT_LOGS_OUT: LogFault(inject_log_outage),
+    FaultKind.ENDPOINT_LOGS_OUT: EndpointLogFault(inject_endpoint_log_outage),
     FaultKind.SIGNAL_SERIES: RouterFault(send_signal_series),
 }
--- a/soak/traffic.py
+++ b/soak/traffic.py
@@ -35,8 +35,8 @@
         """Send requests to a router, at the given port."""
         await self._set_port(router, port)
 
-    async def open_no_connections(self, router: int) -> None:
-        """Open no more connections to a router, but keep using open ones."""
+    async def stop_connecting_to(self, router: int) -> None:
+        """Make no new connections to a router, but keep using existing ones."""
         await self._change(open_only=[*self._command.open_only, router])
 
     async def avoid_router(self, router: int) -> None:
--- a/soak/worker_rules.py
+++ b/soak/worker_rules.py
@@ -19,7 +19,7 @@
 
 # Allowance for sampling noise above the budget of a worker in slow start: a number of standard deviations,
 # plus the same number of requests. A small budget gets a wider margin.
-SMALL_BUDGET = 30.0
+SMALL_BUDGET = 30.0  # requests in a window; a budget below this is small
 SMALL_BUDGET_DEVIATIONS = 3
 LARGE_BUDGET_DEVIATIONS = 2
 
@@ -38,12 +38,12 @@
     incarnations = history.record.worker_incarnations
     for incarnation in incarnations:
         if incarnation.drain_notified_at:
-            successors = [
+            successor_starts = [
                 each.started_at
                 for each in incarnations
                 if each.worker == incarnation.worker and each.started_at > incarnation.started_at
             ]
-            yield from _check_drain(history, incarnation, min(successors, default=math.inf))
+            yield from _check_drain(history, incarnation, min(successor_starts, default=math.inf))
 
 
 def _check_drain(
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -51,7 +51,8 @@
 
     sent_ms = [entry.time_ms for entry in harness.logged(SendRequest)]
     most_in_a_window = max(sum(start <= time < start + 1000 for time in sent_ms) for start in sent_ms)
-    # About 90 requests per second arrive. The single worker can take 2 x (0.2 to 0.4) of that.
+    # 100 requests per second arrive. The overload multiple is 2, and the capacity of the single worker grows
+    # from 0.2 to 0.36 of that rate. The bound is its limit at a capacity of 0.3: 2 x 0.3 x 100.
     assert 1 <= most_in_a_window <= 60
 
 
@@ -122,7 +123,7 @@
 }
 
 
-def restart(workers, now_ms):
+def list_of_restarted_workers(workers, now_ms):
     """Return a complete endpoint list with this many workers, which have all just started."""
     endpoints = [Endpoint(worker_id, started_at_ms=now_ms) for worker_id in range(1, workers + 1)]
     return EndpointsChanged(endpoints, is_complete=True)
@@ -162,18 +163,20 @@
 
     for harness in harnesses:
         harness.now_ms = 20_000.0
-        harness.feed(restart(MANY_ROUTERS_WORKERS, 20_000.0))
+        harness.feed(list_of_restarted_workers(MANY_ROUTERS_WORKERS, 20_000.0))
         for number in range(10):
             harness.now_ms += 100.0
             sent_to += [send.worker_id for send in send_request(harness, f"r{number}")]
 
-    # 100 routers send ten requests each to 20 workers within one second.
+    # 100 routers send ten requests each to 20 workers within one second. At the end of that second, the
+    # capacity of a worker is 0.2 + 0.8 x 1 s / 10 s = 0.28, and the overload multiple is 2.
     requests_per_worker = 100 * 10 / 20
     assert 0 < most_sends_to_a_worker(sent_to) <= 2.0 * 0.28 * requests_per_worker
 
 
 @pytest.mark.parametrize(
-    ("requests_per_second", "workers_left"),  # the rate is that of each router, whose share of the quota is 1
+    # The rate is that of each router, whose share of the quota is 1 request per second.
+    ("requests_per_second", "workers_left"),
     [
         pytest.param(6, 20, id="burst"),
         pytest.param(2, 5, id="most-workers-removed"),
@@ -187,7 +190,7 @@
 
     for harness in harnesses:
         serve_ten_functions(harness, interval_ms=2000.0)
-        harness.feed(restart(workers_left, harness.now_ms))
+        harness.feed(list_of_restarted_workers(workers_left, harness.now_ms))
         for number in range(3 * requests_per_second):
             harness.now_ms += 1000.0 / requests_per_second
             for send in send_request(harness, f"r{number}", f"f{number % 10}"):
@@ -203,7 +206,7 @@
 
     for index, harness in enumerate(many_routers(router_count, **SLOW_START)):
         serve_ten_functions(harness, interval_ms=1000.0)
-        restarted_workers = restart(MANY_ROUTERS_WORKERS, harness.now_ms)
+        restarted_workers = list_of_restarted_workers(MANY_ROUTERS_WORKERS, harness.now_ms)
         harness.feed(restarted_workers)
         for number in range(9):
             if number == 4 and index % 2:  # half of the routers restart and lose the record of their sends
@@ -221,7 +224,7 @@
 
 def test_sends_to_a_worker_are_not_kept_once_its_slow_start_is_over():
     harness = one_of_many_routers(40, slow_start_ms=1000.0)
-    harness.feed(restart(MANY_ROUTERS_WORKERS, 1.0))
+    harness.feed(list_of_restarted_workers(MANY_ROUTERS_WORKERS, 1.0))
 
     for number in range(50):
         harness.now_ms += 2000.0
--- a/tests/net/test_event_ordering_requests.py
+++ b/tests/net/test_event_ordering_requests.py
@@ -1,7 +1,7 @@
 """Tests of `function_router.net.request_table`: attempts that must not start, and reused request ids.
 
-In most tests, the router handles a client's close, a new connection or an answer before something that was
-sent earlier.
+In most tests, events reach the router in an unfavorable order. For example, a connection to a worker is
+established, or an attempt is about to be sent, before the router reads that the client has disconnected.
 """
 
 import math
@@ -214,7 +214,7 @@
     with mock.patch.object(connection, "MAX_READS_PER_TURN", 1):
         client_connection.connection._on_ready(READ)
 
-    assert (harness.table.pending, harness.table._requests._keys_by_client_id) == ({}, {})
+    assert (harness.table.pending, harness.table._requests._keys_by_client_request_id) == ({}, {})
 
 
 # --- idempotency window ---------------------------------------------------------------------------
