--- a/tests/decisions/conftest.py
+++ b/tests/decisions/conftest.py
@@ -11,7 +11,7 @@
 
 
 @pytest.fixture
-def harness_awaiting_check(harness):
+def stale_harness(harness):
     """Return a router whose list has expired, and which has a health check of its warm worker pending."""
     harness.expire_list()
     harness.request("r1")
--- a/tests/decisions/test_endpoint_leases.py
+++ b/tests/decisions/test_endpoint_leases.py
@@ -14,10 +14,7 @@
     RECHECK_INTERVAL_MS,
     RENEWAL_LEAD_MS,
 )
-from function_router.decisions.events import (
-    EndpointListConfirmed,
-    EndpointListInterrupted,
-)
+from function_router.decisions.events import EndpointListConfirmed, EndpointListInterrupted
 from function_router.decisions.types import Outcome, Readiness
 
 # --- the lease on the list
@@ -106,65 +103,53 @@
     assert sent_to(answered) == [harness.warm_id]
 
 
-def test_lease_counts_from_the_health_check_and_is_renewed_in_use(harness_awaiting_check):
-    checked_at_ms = harness_awaiting_check.now_ms
-    harness_awaiting_check.end_attempt(
-        *actions_of(harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id), SendRequest)
+def test_lease_counts_from_the_health_check_and_is_renewed_in_use(stale_harness):
+    checked_at_ms = stale_harness.now_ms
+    stale_harness.end_attempt(
+        *actions_of(stale_harness.answer_health_check(stale_harness.warm_id), SendRequest)
     )
-    harness_awaiting_check.now_ms = checked_at_ms + LEASE_MS - RENEWAL_LEAD_MS - 1
-    early = harness_awaiting_check.request("r2")
-    harness_awaiting_check.end_attempt(*actions_of(early, SendRequest))
-    harness_awaiting_check.now_ms = checked_at_ms + LEASE_MS - 1
+    stale_harness.now_ms = checked_at_ms + LEASE_MS - RENEWAL_LEAD_MS - 1
+    early = stale_harness.request("r2")
+    stale_harness.end_attempt(*actions_of(early, SendRequest))
+    stale_harness.now_ms = checked_at_ms + LEASE_MS - 1
 
-    late = harness_awaiting_check.request("r3")
+    late = stale_harness.request("r3")
 
-    assert (sent_to(early), checked(early)) == ([harness_awaiting_check.warm_id], [])
-    assert (sent_to(late), checked(late)) == (
-        [harness_awaiting_check.warm_id],
-        [harness_awaiting_check.warm_id],
-    )
-    assert harness_awaiting_check.leases.has_valid_lease(
-        harness_awaiting_check.worker(harness_awaiting_check.warm_id), checked_at_ms + LEASE_MS - 1
+    assert (sent_to(early), checked(early)) == ([stale_harness.warm_id], [])
+    assert (sent_to(late), checked(late)) == ([stale_harness.warm_id], [stale_harness.warm_id])
+    assert stale_harness.leases.has_valid_lease(
+        stale_harness.worker(stale_harness.warm_id), checked_at_ms + LEASE_MS - 1
     )
-    assert not harness_awaiting_check.leases.has_valid_lease(
-        harness_awaiting_check.worker(harness_awaiting_check.warm_id), checked_at_ms + LEASE_MS
+    assert not stale_harness.leases.has_valid_lease(
+        stale_harness.worker(stale_harness.warm_id), checked_at_ms + LEASE_MS
     )
 
 
-def test_only_one_health_check_at_a_time_is_sent_for_a_function(harness_awaiting_check):
+def test_only_one_health_check_at_a_time_is_sent_for_a_function(stale_harness):
 
-    actions = harness_awaiting_check.request("r2")
+    actions = stale_harness.request("r2")
 
     assert checked(actions) == []
 
 
-def test_worker_that_reports_its_drain_gets_no_requests(harness_awaiting_check):
+def test_worker_that_reports_its_drain_gets_no_requests(stale_harness):
 
-    actions = harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
+    actions = stale_harness.answer_health_check(stale_harness.warm_id, Readiness.DRAINING)
 
     assert sent_to(actions) == []
-    assert [f"worker {harness_awaiting_check.warm_id} says that it is draining"] == [
+    assert [f"worker {stale_harness.warm_id} says that it is draining"] == [
         action.text for action in actions_of(actions, LogMessage)
     ]
-    assert harness_awaiting_check.warm_id not in [
-        worker.id for worker in harness_awaiting_check.fleet.workers.ready
-    ]
-    assert (
-        harness_awaiting_check.router.connection_cutoff_ms(
-            harness_awaiting_check.warm_id, harness_awaiting_check.now_ms
-        )
-        == -math.inf
-    )
+    assert stale_harness.warm_id not in [worker.id for worker in stale_harness.fleet.workers.ready]
+    assert stale_harness.router.connection_cutoff_ms(stale_harness.warm_id, stale_harness.now_ms) == -math.inf
 
 
-def test_instance_is_started_elsewhere_when_its_worker_drains(harness_awaiting_check):
-    [other_id] = checked(
-        harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
-    )
+def test_instance_is_started_elsewhere_when_its_worker_drains(stale_harness):
+    [other_id] = checked(stale_harness.answer_health_check(stale_harness.warm_id, Readiness.DRAINING))
 
-    ordered = start_orders(harness_awaiting_check.answer_health_check(other_id))
+    ordered = start_orders(stale_harness.answer_health_check(other_id))
 
-    assert other_id != harness_awaiting_check.warm_id
+    assert other_id != stale_harness.warm_id
     assert [order.worker_id for order in ordered] == [other_id]
 
 
@@ -191,26 +176,22 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
-def test_failed_exchange_revokes_the_lease(harness_awaiting_check, outcome):
-    [send] = actions_of(
-        harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id), SendRequest
-    )
+def test_failed_exchange_revokes_the_lease(stale_harness, outcome):
+    [send] = actions_of(stale_harness.answer_health_check(stale_harness.warm_id), SendRequest)
 
-    harness_awaiting_check.end_attempt(send, outcome)
+    stale_harness.end_attempt(send, outcome)
 
-    assert not harness_awaiting_check.leases.has_valid_lease(
-        harness_awaiting_check.worker(harness_awaiting_check.warm_id), harness_awaiting_check.now_ms
+    assert not stale_harness.leases.has_valid_lease(
+        stale_harness.worker(stale_harness.warm_id), stale_harness.now_ms
     )
 
 
-def test_reported_drain_outlasts_an_unanswered_health_check(harness_awaiting_check):
-    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
+def test_reported_drain_outlasts_an_unanswered_health_check(stale_harness):
+    stale_harness.answer_health_check(stale_harness.warm_id, Readiness.DRAINING)
 
-    harness_awaiting_check.answer_health_check(
-        harness_awaiting_check.warm_id, Readiness.UNKNOWN, Outcome.TIMEOUT
-    )
+    stale_harness.answer_health_check(stale_harness.warm_id, Readiness.UNKNOWN, Outcome.TIMEOUT)
 
-    assert not harness_awaiting_check.worker(harness_awaiting_check.warm_id).is_ready
+    assert not stale_harness.worker(stale_harness.warm_id).is_ready
 
 
 def test_draining_worker_is_checked_again_at_growing_intervals(harness):
--- a/tests/decisions/test_endpoint_leases_recovery.py
+++ b/tests/decisions/test_endpoint_leases_recovery.py
@@ -11,64 +11,53 @@
     LEASE_MARGIN_MS,
     MAX_LOG_SILENCE_MS,
 )
-from function_router.decisions.events import (
-    Endpoint,
-    EndpointListConfirmed,
-    EndpointsChanged,
-)
+from function_router.decisions.events import Endpoint, EndpointListConfirmed, EndpointsChanged
 from function_router.decisions.types import Readiness, WorkerState
 
 # --- restarts
 
 
-def test_same_connection_shows_that_a_worker_has_not_restarted(harness_awaiting_check):
-    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
+def test_same_connection_shows_that_a_worker_has_not_restarted(stale_harness):
+    stale_harness.answer_health_check(stale_harness.warm_id, Readiness.DRAINING)
 
-    harness_awaiting_check.answer_health_check(
-        harness_awaiting_check.warm_id, lost_at_ms=harness_awaiting_check.now_ms
-    )
+    stale_harness.answer_health_check(stale_harness.warm_id, lost_at_ms=stale_harness.now_ms)
 
-    assert harness_awaiting_check.worker(harness_awaiting_check.warm_id).latest_start_ms is None
+    assert stale_harness.worker(stale_harness.warm_id).latest_start_ms is None
 
 
 @pytest.mark.parametrize("has_drained", [True, False], ids=["drained", "lost its connections"])
-def test_worker_that_may_have_restarted_is_in_slow_start(harness_awaiting_check, has_drained):
+def test_worker_that_may_have_restarted_is_in_slow_start(stale_harness, has_drained):
     if has_drained:
-        harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
-    lost_at_ms = None if has_drained else harness_awaiting_check.now_ms
-    harness_awaiting_check.connected_ms = harness_awaiting_check.now_ms
+        stale_harness.answer_health_check(stale_harness.warm_id, Readiness.DRAINING)
+    lost_at_ms = None if has_drained else stale_harness.now_ms
+    stale_harness.connected_ms = stale_harness.now_ms
 
-    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, lost_at_ms=lost_at_ms)
+    stale_harness.answer_health_check(stale_harness.warm_id, lost_at_ms=lost_at_ms)
 
+    assert stale_harness.worker(stale_harness.warm_id).latest_start_ms == stale_harness.connected_ms
     assert (
-        harness_awaiting_check.worker(harness_awaiting_check.warm_id).latest_start_ms
-        == harness_awaiting_check.connected_ms
-    )
-    assert (
-        harness_awaiting_check.fleet.slow_start.capacity_share(
-            harness_awaiting_check.worker(harness_awaiting_check.warm_id), harness_awaiting_check.now_ms
+        stale_harness.fleet.slow_start.capacity_share(
+            stale_harness.worker(stale_harness.warm_id), stale_harness.now_ms
         )
         < 1.0
     )
 
 
-def test_new_connection_alone_does_not_count_as_a_restart(harness_awaiting_check):
-    harness_awaiting_check.connected_ms = harness_awaiting_check.now_ms
+def test_new_connection_alone_does_not_count_as_a_restart(stale_harness):
+    stale_harness.connected_ms = stale_harness.now_ms
 
-    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id)
+    stale_harness.answer_health_check(stale_harness.warm_id)
 
-    assert harness_awaiting_check.worker(harness_awaiting_check.warm_id).latest_start_ms is None
+    assert stale_harness.worker(stale_harness.warm_id).latest_start_ms is None
 
 
-def test_connection_established_after_the_health_check_carries_no_new_work(harness_awaiting_check):
-    checked_at_ms = harness_awaiting_check.now_ms
+def test_connection_established_after_the_health_check_carries_no_new_work(stale_harness):
+    checked_at_ms = stale_harness.now_ms
 
-    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id)
+    stale_harness.answer_health_check(stale_harness.warm_id)
 
     assert (
-        harness_awaiting_check.router.connection_cutoff_ms(
-            harness_awaiting_check.warm_id, harness_awaiting_check.now_ms
-        )
+        stale_harness.router.connection_cutoff_ms(stale_harness.warm_id, stale_harness.now_ms)
         == checked_at_ms
     )
 
@@ -76,90 +65,74 @@
 # --- the end of a log outage
 
 
-def test_list_that_is_current_again_discards_assumed_starts(harness_awaiting_check):
-    harness_awaiting_check.connected_ms = harness_awaiting_check.now_ms
-    harness_awaiting_check.answer_health_check(
-        harness_awaiting_check.warm_id, lost_at_ms=harness_awaiting_check.now_ms
-    )
+def test_list_that_is_current_again_discards_assumed_starts(stale_harness):
+    stale_harness.connected_ms = stale_harness.now_ms
+    stale_harness.answer_health_check(stale_harness.warm_id, lost_at_ms=stale_harness.now_ms)
 
-    harness_awaiting_check.confirm_list()
+    stale_harness.confirm_list()
 
-    assert harness_awaiting_check.worker(harness_awaiting_check.warm_id).latest_start_ms is None
-    assert (
-        harness_awaiting_check.router.connection_cutoff_ms(
-            harness_awaiting_check.warm_id, harness_awaiting_check.now_ms
-        )
-        == math.inf
-    )
+    assert stale_harness.worker(stale_harness.warm_id).latest_start_ms is None
+    assert stale_harness.router.connection_cutoff_ms(stale_harness.warm_id, stale_harness.now_ms) == math.inf
 
 
-def test_older_event_does_not_undo_a_drain_that_the_worker_reported(harness_awaiting_check):
-    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
+def test_older_event_does_not_undo_a_drain_that_the_worker_reported(stale_harness):
+    stale_harness.answer_health_check(stale_harness.warm_id, Readiness.DRAINING)
 
-    harness_awaiting_check.feed(
-        EndpointsChanged([Endpoint(harness_awaiting_check.warm_id)], is_complete=False)
-    )
-    harness_awaiting_check.confirm_list()
+    stale_harness.feed(EndpointsChanged([Endpoint(stale_harness.warm_id)], is_complete=False))
+    stale_harness.confirm_list()
 
-    assert not harness_awaiting_check.worker(harness_awaiting_check.warm_id).is_ready
+    assert not stale_harness.worker(stale_harness.warm_id).is_ready
 
 
-def test_reported_drain_that_the_list_never_confirms_expires(harness_awaiting_check):
-    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
-    harness_awaiting_check.now_ms += DRAIN_REPORT_TTL_MS + 1
+def test_reported_drain_that_the_list_never_confirms_expires(stale_harness):
+    stale_harness.answer_health_check(stale_harness.warm_id, Readiness.DRAINING)
+    stale_harness.now_ms += DRAIN_REPORT_TTL_MS + 1
 
-    harness_awaiting_check.confirm_list()
+    stale_harness.confirm_list()
 
-    assert harness_awaiting_check.worker(harness_awaiting_check.warm_id).is_ready
+    assert stale_harness.worker(stale_harness.warm_id).is_ready
 
 
-def test_drain_reported_after_the_list_is_current_again_expires_too(harness_awaiting_check):
-    harness_awaiting_check.confirm_list()
-    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
-    harness_awaiting_check.now_ms += DRAIN_REPORT_TTL_MS + 1
+def test_drain_reported_after_the_list_is_current_again_expires_too(stale_harness):
+    stale_harness.confirm_list()
+    stale_harness.answer_health_check(stale_harness.warm_id, Readiness.DRAINING)
+    stale_harness.now_ms += DRAIN_REPORT_TTL_MS + 1
 
-    harness_awaiting_check.confirm_list()
+    stale_harness.confirm_list()
 
-    assert harness_awaiting_check.worker(harness_awaiting_check.warm_id).is_ready
+    assert stale_harness.worker(stale_harness.warm_id).is_ready
 
 
-def test_old_confirmation_discards_no_assumed_start(harness_awaiting_check):
-    confirmed_ms = harness_awaiting_check.now_ms - LEASE_MS
-    harness_awaiting_check.connected_ms = harness_awaiting_check.now_ms
-    harness_awaiting_check.answer_health_check(
-        harness_awaiting_check.warm_id, lost_at_ms=harness_awaiting_check.now_ms
-    )
-    harness_awaiting_check.now_ms += MAX_LOG_SILENCE_MS + LEASE_MS
+def test_old_confirmation_discards_no_assumed_start(stale_harness):
+    confirmed_ms = stale_harness.now_ms - LEASE_MS
+    stale_harness.connected_ms = stale_harness.now_ms
+    stale_harness.answer_health_check(stale_harness.warm_id, lost_at_ms=stale_harness.now_ms)
+    stale_harness.now_ms += MAX_LOG_SILENCE_MS + LEASE_MS
 
-    harness_awaiting_check.feed(EndpointListConfirmed(confirmed_ms))
+    stale_harness.feed(EndpointListConfirmed(confirmed_ms))
 
-    assert (
-        harness_awaiting_check.worker(harness_awaiting_check.warm_id).latest_start_ms
-        == harness_awaiting_check.connected_ms
-    )
+    assert stale_harness.worker(stale_harness.warm_id).latest_start_ms == stale_harness.connected_ms
 
 
-def test_worker_is_checked_again_if_the_end_of_a_health_check_is_never_reported(harness_awaiting_check):
-    harness_awaiting_check.now_ms += CHECK_EXPIRY_MS
-    harness_awaiting_check.request("r2")
+def test_worker_is_checked_again_if_the_end_of_a_health_check_is_never_reported(stale_harness):
+    stale_harness.now_ms += CHECK_EXPIRY_MS
+    stale_harness.request("r2")
 
-    assert harness_awaiting_check.warm_id in checked(
-        harness_awaiting_check.report_instances(harness_awaiting_check.warm_id, 1)
-    )
+    assert stale_harness.warm_id in checked(stale_harness.report_instances(stale_harness.warm_id, 1))
 
 
-def test_later_start_in_the_list_ends_a_reported_drain(harness_awaiting_check):
-    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
-    restarted = Endpoint(harness_awaiting_check.warm_id, started_at_ms=harness_awaiting_check.now_ms + 1)
+def test_later_start_in_the_list_ends_a_reported_drain(stale_harness):
+    stale_harness.answer_health_check(stale_harness.warm_id, Readiness.DRAINING)
+    restarted = Endpoint(stale_harness.warm_id, started_at_ms=stale_harness.now_ms + 1)
 
-    harness_awaiting_check.feed(EndpointsChanged([restarted], is_complete=False))
+    stale_harness.feed(EndpointsChanged([restarted], is_complete=False))
 
-    assert harness_awaiting_check.worker(harness_awaiting_check.warm_id).is_ready
+    assert stale_harness.worker(stale_harness.warm_id).is_ready
 
 
-def test_queued_request_is_sent_once_the_list_is_current(harness_awaiting_check):
+def test_queued_request_is_sent_once_the_list_is_current(stale_harness):
 
-    assert sent_to(harness_awaiting_check.confirm_list()) == [harness_awaiting_check.warm_id]
+    assert sent_to(stale_harness.confirm_list()) == [stale_harness.warm_id]
 
 
 def test_request_while_every_worker_drains_is_queued_without_an_error():
@@ -184,16 +157,16 @@
     assert not harness.router.is_within_drain_grace(harness.warm_id, confirmed_until_ms)
 
 
-def test_run_time_check_grants_the_grace_after_an_answer_that_a_drain_has_followed(harness_awaiting_check):
-    checked_at_ms = harness_awaiting_check.now_ms
-    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id)
-    harness_awaiting_check.answer_health_check(harness_awaiting_check.warm_id, Readiness.DRAINING)
+def test_run_time_check_grants_the_grace_after_an_answer_that_a_drain_has_followed(stale_harness):
+    checked_at_ms = stale_harness.now_ms
+    stale_harness.answer_health_check(stale_harness.warm_id)
+    stale_harness.answer_health_check(stale_harness.warm_id, Readiness.DRAINING)
 
-    assert harness_awaiting_check.router.is_within_drain_grace(
-        harness_awaiting_check.warm_id, checked_at_ms + DRAIN_GRACE_MS - 1
+    assert stale_harness.router.is_within_drain_grace(
+        stale_harness.warm_id, checked_at_ms + DRAIN_GRACE_MS - 1
     )
-    assert not harness_awaiting_check.router.is_within_drain_grace(
-        harness_awaiting_check.warm_id, checked_at_ms + DRAIN_GRACE_MS
+    assert not stale_harness.router.is_within_drain_grace(
+        stale_harness.warm_id, checked_at_ms + DRAIN_GRACE_MS
     )
 
 
